--- a/libs/entry/src/rattanmill_entry/acts.py
+++ b/libs/entry/src/rattanmill_entry/acts.py
@@ -29,7 +29,7 @@
     gave_up,
     service_work,
 )
-from rattanmill_entry.upstream import Failed, ServiceAnswer, call_service
+from rattanmill_entry.upstream import Failed, ServiceResponse, call_service
 from rattanmill_policy import Outcome, Work
 from rattanmill_programs import (
     LOOSE_TOKEN,
@@ -45,15 +45,15 @@
 )
 from rattanmill_wire import CallStart
 
-_REPEATED = ("Rattanmill-Repeated", "true")
+_REPEATED_HEADER = ("Rattanmill-Repeated", "true")
 # A segment of the log holds 1 MB; a larger answer would never be committed
 # and would hold up everything behind it.
-_KEPT_BYTES = 256 * 1024
+_MAX_STORED_BODY_BYTES = 256 * 1024
 _FENCED_STATUS = 412
-_GRACE_SECONDS = 0.1
+_DEADLINE_GRACE_SECONDS = 0.1
 
 
-class _Run:
+class _ActRun:
     """The one try of an act that this process makes.
 
     Attributes:
@@ -80,14 +80,14 @@
         self.program = program
         self.start = start
         self.act = act
-        self.until = asyncio.get_running_loop().time() + start.seconds_left
-        self.sent = False
-        self.dropped = False
+        self.deadline = asyncio.get_running_loop().time() + start.seconds_left
+        self.may_have_been_sent = False
+        self.reported_unsent = False
 
     @property
     def seconds_left(self) -> float:
         """Seconds until the caller's deadline."""
-        return max(0.0, self.until - asyncio.get_running_loop().time())
+        return max(0.0, self.deadline - asyncio.get_running_loop().time())
 
 
 async def run_act(
@@ -98,12 +98,14 @@
     digest = _digest(start)
     act = program.acts.get(name)
     if act is None:
-        replies = await _first(node, shard, program, start, Act(name, digest))
+        replies = await _run_first(
+            node, shard, program, start, Act(name, digest)
+        )
     elif act.digest != digest:
         detail = "The idempotency key was used with another request."
         replies = [refused(start, refuse(Reason.ACT_CONFLICT, detail))]
     else:
-        replies = await _again(program, start, act)
+        replies = await _answer_repeat(program, start, act)
     for reply in replies:
         yield reply
 
@@ -124,7 +126,9 @@
     return hashlib.sha256(head + start.body).digest()
 
 
-async def _again(program: Program, start: CallStart, act: Act) -> list[Reply]:
+async def _answer_repeat(
+    program: Program, start: CallStart, act: Act
+) -> list[Reply]:
     """Answers a repeat, waiting for a try that is under way."""
     if act.running is not None:
         await asyncio.wait([act.running], timeout=start.seconds_left)
@@ -135,28 +139,30 @@
         detail = "The first try was not sent. Send the request again."
         refusal = refuse(Reason.ENDPOINT_FAILED, detail, ran=Ran.NO)
         return [refused(start, refusal)]
-    return _stored(start, act)
+    return _stored_replies(start, act)
 
 
-async def _first(
+async def _run_first(
     node: Node, shard: Shard, program: Program, start: CallStart, act: Act
 ) -> list[Reply]:
-    refusal = _limits(program)
+    refusal = _check_program(program)
     refusal = refusal or node.guard.refusal(service_prints(start), Ran.NO)
     if refusal:
         return [refused(start, refusal)]
     program.acts[act.key] = act
     act.running = asyncio.get_running_loop().create_future()
-    run = _Run(node, shard, program, start, act)
+    run = _ActRun(node, shard, program, start, act)
     # The caller may leave; the outcome must be kept all the same.
-    task = node.spawn(_run_to_end(run))
-    await asyncio.wait([task], timeout=run.seconds_left + _GRACE_SECONDS)
+    task = node.spawn(_run_to_completion(run))
+    await asyncio.wait(
+        [task], timeout=run.seconds_left + _DEADLINE_GRACE_SECONDS
+    )
     if task.done():
         return task.result()
-    return _overdue(run)
+    return _answer_at_deadline(run)
 
 
-def _limits(program: Program) -> Refusal | None:
+def _check_program(program: Program) -> Refusal | None:
     made = program.made
     if program.ended is not None:
         return refuse(Reason.PROGRAM_ENDED, "The program has ended.")
@@ -166,29 +172,29 @@
     return None
 
 
-def _overdue(run: _Run) -> list[Reply]:
+def _answer_at_deadline(run: _ActRun) -> list[Reply]:
     """Answers at the deadline; the try itself goes on to be settled."""
     if run.act.settled is not None:
-        return _stored(run.start, run.act)
-    if run.sent:
+        return _stored_replies(run.start, run.act)
+    if run.may_have_been_sent:
         detail = "The request was sent; its result is not known yet."
         return [refused(run.start, refuse(Reason.DEADLINE, detail))]
-    run.dropped = True
+    run.reported_unsent = True
     detail = "The deadline passed before the request could be sent."
     refusal = refuse(Reason.DEADLINE, detail, ran=Ran.NO)
     return [refused(run.start, refusal)]
 
 
-async def _run_to_end(run: _Run) -> list[Reply]:
+async def _run_to_completion(run: _ActRun) -> list[Reply]:
     with run.shard.busy():
         try:
-            return await _run_intended(run)
+            return await _run_with_intent(run)
         finally:
             run.act.running.set_result(None)
             run.act.running = None
 
 
-async def _run_intended(run: _Run) -> list[Reply]:
+async def _run_with_intent(run: _ActRun) -> list[Reply]:
     node, act = run.node, run.act
     if not node.lease.holds():
         del run.program.acts[act.key]
@@ -198,28 +204,30 @@
     )
     appended = await run.shard.log.append(intended)
     if not isinstance(appended, Committed):
-        return _withdraw(run, _not_kept(appended))
+        return _withdraw(run, _commit_refusal(appended))
     work = service_work(run.start)
     while True:
         result = await _attempt(run, work)
         if isinstance(result, Refusal):
             return _withdraw(run, result)
-        prints = service_prints(run.start)
-        if isinstance(result, ServiceAnswer):
-            node.guard.finished(prints)
+        fingerprints = service_prints(run.start)
+        if isinstance(result, ServiceResponse):
+            node.guard.finished(fingerprints)
             return await _settle(run, result)
         if result.outcome not in NEVER_SENT:
             replies = await _settle(run, None)
             # Before the caller can ask again under another key.
-            await node.guard.after_attempt(prints, result, work.tried[-1])
+            await node.guard.after_attempt(fingerprints, result, work.tried[-1])
             return replies
-        run.sent = False
+        run.may_have_been_sent = False
         if not node.scheduler.may_retry(work, result.outcome):
             return _withdraw(run, gave_up(result, Ran.NO))
         node.metrics.retried(result.outcome)
 
 
-async def _attempt(run: _Run, work: Work) -> ServiceAnswer | Failed | Refusal:
+async def _attempt(
+    run: _ActRun, work: Work
+) -> ServiceResponse | Failed | Refusal:
     node, start = run.node, run.start
     work.seconds_left = run.seconds_left
     placed = await node.scheduler.place(work)
@@ -229,10 +237,10 @@
     with placed:
         # Finding a place may have taken long: the lease can have lapsed and
         # the caller can have been told that nothing was sent.
-        refusal = _may_not_send(run)
+        refusal = _send_refusal(run)
         if refusal:
             return refusal
-        run.sent = True
+        run.may_have_been_sent = True
         result = await call_service(
             node.act_session,
             start.method,
@@ -240,31 +248,31 @@
             [*start.headers, *_act_headers(run)],
             start.body,
             run.seconds_left,
-            once=True,
-            may_send=lambda: _may_not_send(run) is None,
+            no_resend=True,
+            may_send=lambda: _send_refusal(run) is None,
         )
         failed = isinstance(result, Failed)
         placed.outcome = result.outcome if failed else Outcome.ANSWERED
     return result
 
 
-def _may_not_send(run: _Run) -> Refusal | None:
+def _send_refusal(run: _ActRun) -> Refusal | None:
     if not run.node.lease.holds() or run.shard.log.fenced:
         detail = "This instance may not act for the program any more."
         return refuse(Reason.OWNERSHIP_LOST, detail, ran=Ran.NO)
-    if run.dropped or not run.seconds_left:
+    if run.reported_unsent or not run.seconds_left:
         detail = "The deadline passed before the request could be sent."
         return refuse(Reason.DEADLINE, detail, ran=Ran.NO)
     return None
 
 
-def _act_headers(run: _Run) -> list[tuple[str, str]]:
+def _act_headers(run: _ActRun) -> list[tuple[str, str]]:
     shard = run.shard
     fence = f"{shard.domain}.{shard.number}:{shard.epoch}"
     return [("Idempotency-Key", run.start.key), ("Rattanmill-Fence", fence)]
 
 
-def _not_kept(appended: Deferred | Fenced) -> Refusal:
+def _commit_refusal(appended: Deferred | Fenced) -> Refusal:
     if isinstance(appended, Fenced):
         detail = "Another instance owns the program now."
         return refuse(Reason.OWNERSHIP_LOST, detail, ran=Ran.NO)
@@ -272,7 +280,7 @@
     return refuse(Reason.STORE_UNAVAILABLE, detail)
 
 
-def _withdraw(run: _Run, refusal: Refusal) -> list[Reply]:
+def _withdraw(run: _ActRun, refusal: Refusal) -> list[Reply]:
     """Ends an act that was provably never sent, so that it may be repeated."""
     program, act = run.program, run.act
     if program.acts.get(act.key) is act:
@@ -281,27 +289,27 @@
     return [refused(run.start, refusal)]
 
 
-async def _settle(run: _Run, answer: ServiceAnswer | None) -> list[Reply]:
+async def _settle(run: _ActRun, answer: ServiceResponse | None) -> list[Reply]:
     """Keeps the outcome; the caller may see it whether or not that worked.
 
     If it did not, a later repeat is answered with ``act_unknown``, which is
     the truth for whoever was not there.
     """
-    run.act.settled = _outcome(run, answer)
+    run.act.settled = _settled_record(run, answer)
     appended = await run.shard.log.append(run.act.settled)
     if answer is None:
-        return _stored(run.start, run.act)
+        return _stored_replies(run.start, run.act)
     if answer.status == _FENCED_STATUS and isinstance(appended, Fenced):
         # The service checks fencing numbers, and ours was old.
         return [ownership_lost(run.start, Ran.NO)]
     return answered(run.start, answer)
 
 
-def _outcome(run: _Run, answer: ServiceAnswer | None) -> ActSettled:
+def _settled_record(run: _ActRun, answer: ServiceResponse | None) -> ActSettled:
     program, key = run.program.made.program, run.act.key
     if answer is None:
         return ActSettled(program, key, Ran.UNKNOWN)
-    if len(answer.body) > _KEPT_BYTES:
+    if len(answer.body) > _MAX_STORED_BODY_BYTES:
         run.node.metrics.count("rattanmill_act_answers_not_kept")
         return ActSettled(program, key, Ran.YES)
     return ActSettled(
@@ -309,7 +317,7 @@
     )
 
 
-def _stored(start: CallStart, act: Act) -> list[Reply]:
+def _stored_replies(start: CallStart, act: Act) -> list[Reply]:
     settled = act.settled
     if settled is None or settled.ran is not Ran.YES:
         detail = (
@@ -320,5 +328,5 @@
     if not settled.status:
         detail = "The request ran; its answer was too long to be kept."
         return [refused(start, refuse(Reason.ANSWER_NOT_KEPT, detail))]
-    headers = [*settled.headers, _REPEATED]
+    headers = [*settled.headers, _REPEATED_HEADER]
     return whole_reply(start, settled.status, headers, settled.body)
--- a/libs/entry/src/rattanmill_entry/answers.py
+++ b/libs/entry/src/rattanmill_entry/answers.py
@@ -10,7 +10,7 @@
 DONE_EVENT = b"data: [DONE]\n\n"
 
 
-class Answer:
+class AnswerBuilder:
     """Collects an answer's parts into one message."""
 
     def __init__(self) -> None:
@@ -77,7 +77,7 @@
     choice = {
         "index": 0,
         "message": msgspec.Raw(message),
-        "finish_reason": end.finish,
+        "finish_reason": end.finish_reason,
     }
     body = {
         "id": f"chatcmpl-{call}",
@@ -105,7 +105,7 @@
     last: dict = {"choices": [], "usage": _usage(end.usage)}
     if extra:
         last["rattanmill"] = extra
-    finish = chunk_event(call, model, {}, end.finish)
+    finish = chunk_event(call, model, {}, end.finish_reason)
     return finish + _event(call, model, last) + DONE_EVENT
 
 
--- a/libs/entry/src/rattanmill_entry/attempts.py
+++ b/libs/entry/src/rattanmill_entry/attempts.py
@@ -13,7 +13,7 @@
 
 from rattanmill_core import Ran, Reason, Refusal, new_id, refuse
 from rattanmill_entry.chatbody import ChatBody, upstream_body
-from rattanmill_entry.engines import until_closed
+from rattanmill_entry.engines import stop_when_closed
 from rattanmill_entry.node import Node
 from rattanmill_entry.overlap import Mismatch, Overlap
 from rattanmill_entry.quarantine import chat_prints
@@ -27,8 +27,8 @@
 )
 from rattanmill_policy import Outcome, Placement, Work
 
-_NOT_RUN = (Outcome.NOT_CONNECTED, Outcome.DRAINING, Outcome.REJECTED)
-_RESUMES = 2
+_NOT_RUN_OUTCOMES = (Outcome.NOT_CONNECTED, Outcome.DRAINING, Outcome.REJECTED)
+_MAX_RESUMES = 2
 
 
 class Restarted(msgspec.Struct, frozen=True):
@@ -61,18 +61,18 @@
     work: Work
     fence: str = ""
     stream: bool = False
-    lost: Callable[[], Awaitable[Refusal | None]] | None = None
+    charge_lost: Callable[[], Awaitable[Refusal | None]] | None = None
 
 
 async def run_chat(node: Node, run: ChatRun) -> AsyncIterator[Part]:
     """Yields the parts of the answer; ends with Finished or a refusal."""
     body = upstream_body(run.chat, run.messages, run.max_tokens)
-    prints = chat_prints(run.chat, run.messages)
-    node.memory.turn_began(run.work.program)
+    fingerprints = chat_prints(run.chat, run.messages)
+    node.memory.turn_started(run.work.program)
     overlap = Overlap()
     ran = Ran.NO
     while True:
-        quarantined = node.guard.refusal(prints, ran)
+        quarantined = node.guard.refusal(fingerprints, ran)
         if quarantined:
             yield quarantined.after(ran)
             return
@@ -82,7 +82,7 @@
             return
         failed = None
         async with (
-            node.guard.alone(prints, placed.state),
+            node.guard.alone(fingerprints, placed.state),
             contextlib.aclosing(
                 _attempt(node, run, placed, body, overlap)
             ) as parts,
@@ -93,10 +93,10 @@
                     continue
                 if isinstance(part, Finished):
                     # Before the last part: who has it may ask for no more.
-                    node.guard.finished(prints)
-                    node.memory.turn_ended(run, placed.state)
-                if isinstance(part, Refusal) and run.lost:
-                    await run.lost()
+                    node.guard.finished(fingerprints)
+                    node.memory.turn_finished(run, placed.state)
+                if isinstance(part, Refusal) and run.charge_lost:
+                    await run.charge_lost()
                 yield part
                 if isinstance(part, Refusal):
                     return
@@ -104,21 +104,22 @@
             return
         run.work.tried.append(placed.state.endpoint.name)
         refusal = None
-        if failed.outcome not in _NOT_RUN:
+        if failed.outcome not in _NOT_RUN_OUTCOMES:
             ran = Ran.UNKNOWN
-            refusal = await run.lost() if run.lost else None
+            refusal = await run.charge_lost() if run.charge_lost else None
         if failed.outcome is Outcome.BROKEN:
             refusal = (
-                await node.guard.after_broken(prints, placed.state) or refusal
+                await node.guard.after_broken(fingerprints, placed.state)
+                or refusal
             )
-        refusal = refusal or _give_up(node, run, failed, overlap)
+        refusal = refusal or _final_refusal(node, run, failed, overlap)
         if refusal:
             yield refusal.after(ran)
             return
         node.metrics.retried(failed.outcome)
         if not run.stream:
             yield Restarted()
-        await node.guard.before_retry(prints)
+        await node.guard.before_retry(fingerprints)
 
 
 async def _attempt(
@@ -131,26 +132,26 @@
     """Runs the call on one engine, resuming its stream where it breaks."""
     request_id = new_id()
     loop = asyncio.get_running_loop()
-    began = loop.time()
+    started_at = loop.time()
     finished = False
     headers = _headers(run, placement, request_id)
     parts = _first_parts(node, placement, body, headers)
     first_failure = None
     try:
         with placement:
-            for resumes in range(_RESUMES + 1):
-                overlap.restart()
+            for resumes in range(_MAX_RESUMES + 1):
+                overlap.start_run()
                 failed = None
                 async with contextlib.aclosing(parts):
                     async for part in parts:
-                        placement.seconds = loop.time() - began
-                        checked = _check(run, overlap, part)
+                        placement.seconds = loop.time() - started_at
+                        checked = _check_overlap(run, overlap, part)
                         if isinstance(checked, Failed):
                             failed = checked
                             break
                         if checked is None:
                             continue
-                        finished = _note(placement, checked)
+                        finished = _record_part(placement, checked)
                         yield checked
                         if isinstance(checked, Refusal):
                             return
@@ -158,16 +159,19 @@
                     return
                 # A resumption that fails says nothing about the call itself.
                 first_failure = first_failure or failed
-                if failed.outcome is not Outcome.BROKEN or resumes == _RESUMES:
+                if (
+                    failed.outcome is not Outcome.BROKEN
+                    or resumes == _MAX_RESUMES
+                ):
                     break
                 node.metrics.count("rattanmill_resumes")
                 parts = _resumed_parts(node, placement, request_id)
                 if not run.stream:
                     yield Restarted()
-            _note(placement, first_failure)
+            _record_part(placement, first_failure)
         yield first_failure
     finally:
-        if not finished and placement.outcome not in _NOT_RUN:
+        if not finished and placement.outcome not in _NOT_RUN_OUTCOMES:
             # Nobody reads on: an engine that goes on would hold a slot and
             # cache for this answer.
             node.spawn(cancel_chat(node.session, placement.url, request_id))
@@ -179,7 +183,7 @@
     parts = stream_chat(
         node.session, placement.url, body, headers, placement.timeout_seconds
     )
-    return until_closed(parts, placement.state)
+    return stop_when_closed(parts, placement.state)
 
 
 def _resumed_parts(
@@ -188,7 +192,7 @@
     parts = resume_chat(
         node.session, placement.url, request_id, placement.timeout_seconds
     )
-    return until_closed(parts, placement.state)
+    return stop_when_closed(parts, placement.state)
 
 
 def _headers(
@@ -204,7 +208,7 @@
     return headers
 
 
-def _check(
+def _check_overlap(
     run: ChatRun, overlap: Overlap, part: Delta | Finished | Failed
 ) -> Delta | Finished | Failed | Refusal | None:
     """Compares a part of a streamed answer with what has been delivered.
@@ -215,19 +219,19 @@
     if not run.stream or isinstance(part, Failed):
         return part
     if isinstance(part, Finished):
-        return part if overlap.is_complete else _cut()
-    fields = overlap.take(part.fields)
+        return part if overlap.is_complete else _answer_cut_refusal()
+    fields = overlap.take_undelivered(part.fields)
     if isinstance(fields, Mismatch):
-        return _cut()
+        return _answer_cut_refusal()
     return Delta(fields, part.event) if fields else None
 
 
-def _cut() -> Refusal:
+def _answer_cut_refusal() -> Refusal:
     detail = "The engine's answer was cut off, and another run differs."
     return refuse(Reason.ANSWER_CUT, detail)
 
 
-def _note(
+def _record_part(
     placement: Placement, part: Delta | Finished | Failed | Refusal
 ) -> bool:
     """Records what a part tells; True if the answer is whole."""
@@ -246,7 +250,7 @@
     return False
 
 
-def _give_up(
+def _final_refusal(
     node: Node, run: ChatRun, failed: Failed, overlap: Overlap
 ) -> Refusal | None:
     """Returns the refusal to give up with, or None to try again."""
--- a/libs/entry/src/rattanmill_entry/budget.py
+++ b/libs/entry/src/rattanmill_entry/budget.py
@@ -20,18 +20,18 @@
 )
 from rattanmill_programs.program import apply
 
-_RESERVE_SHARE = 8
+_RESERVE_AHEAD_DIVISOR = 8
 _TEMPLATE_TOKENS = 16
 
 
-class _Said(msgspec.Struct):
+class _MessageContent(msgspec.Struct):
     """What makes a message the same as another."""
 
     role: Any = ""
     content: Any = ""
 
 
-def limits(node: Node, program: Program, plan: Plan) -> Refusal | None:
+def check_limits(node: Node, program: Program, plan: Plan) -> Refusal | None:
     """Refuses a turn beyond the program's turns, time or patience."""
     made = program.made
     if len(program.turns) >= made.turns:
@@ -41,32 +41,34 @@
         detail = f"The budget of {made.seconds:.0f} s has run out."
         return refuse(Reason.BUDGET_EXHAUSTED, detail)
     klass = node.config.classes.get(made.klass) or WorkClass()
-    if _repeats(program, plan) >= klass.max_repeats:
+    if _count_repeats(program, plan) >= klass.max_repeats:
         detail = f"The same call was made {klass.max_repeats} times in a row."
         return refuse(Reason.LOOP_SUSPECTED, detail)
     return None
 
 
-def _repeats(program: Program, plan: Plan) -> int:
+def _count_repeats(program: Program, plan: Plan) -> int:
     """Returns how many turns in a row added what this one adds.
 
     A program that loops asks the same again and again, at growing cost, until
     its budget is gone.
     """
-    added = _said(plan.messages[plan.base :])
+    added = _message_contents(plan.messages[plan.base :])
     same = itertools.takewhile(
-        lambda turn: _said(turn.record.messages) == added,
+        lambda turn: _message_contents(turn.record.messages) == added,
         reversed(program.turns),
     )
     return sum(1 for _ in same)
 
 
-def _said(messages: list[bytes]) -> list[_Said]:
+def _message_contents(messages: list[bytes]) -> list[_MessageContent]:
     """Returns what messages say, without the ids that differ each time."""
-    return [msgspec.json.decode(m, type=_Said) for m in messages]
+    return [msgspec.json.decode(m, type=_MessageContent) for m in messages]
 
 
-async def reserve(shard: Shard, program: Program, plan: Plan) -> Refusal | None:
+async def reserve_tokens(
+    shard: Shard, program: Program, plan: Plan
+) -> Refusal | None:
     """Reserves the most the turn can cost, ahead of sending it.
 
     While the reservation is being committed, a sub-agent may be given part of
@@ -82,20 +84,20 @@
             return refuse(Reason.BUDGET_EXHAUSTED, detail)
         plan.max_tokens = min(plan.max_tokens, left)
         program.held = prompt + plan.max_tokens
-        need = program.spent + program.held
-        if need <= program.reserved:
+        needed_tokens = program.spent + program.held
+        if needed_tokens <= program.reserved:
             return None
-        refusal = await _commit_reserve(shard, program, need)
+        refusal = await _commit_reservation(shard, program, needed_tokens)
         if refusal:
             return refusal
 
 
-async def _commit_reserve(
-    shard: Shard, program: Program, need: int
+async def _commit_reservation(
+    shard: Shard, program: Program, needed_tokens: int
 ) -> Refusal | None:
-    ahead = program.made.tokens // _RESERVE_SHARE
+    ahead = program.made.tokens // _RESERVE_AHEAD_DIVISOR
     record = BudgetReserved(
-        program.made.program, min(program.made.tokens, need + ahead)
+        program.made.program, min(program.made.tokens, needed_tokens + ahead)
     )
     appended = await shard.commit(record)
     if isinstance(appended, Committed):
@@ -107,21 +109,23 @@
     return refuse(Reason.BUDGET_UNRESERVED, detail)
 
 
-async def lose(shard: Shard, program: Program, plan: Plan) -> Refusal | None:
+async def charge_lost_attempt(
+    shard: Shard, program: Program, plan: Plan
+) -> Refusal | None:
     """Counts an attempt without an answer, and reserves another.
 
     The engine may have made every token of it. Uncounted, a program whose
     answers are cut again and again would spend without end.
     """
-    most = plan.max_tokens
+    requested_tokens = plan.max_tokens
     record = BudgetSpent(program.made.program, program.held)
     program.held = 0
     # Not waited for: a new owner starts from what was reserved, which covers
     # this.
     apply(shard.programs, record)
     shard.log.enqueue(record)
-    refusal = await reserve(shard, program, plan)
-    if refusal is None and plan.max_tokens < most:
+    refusal = await reserve_tokens(shard, program, plan)
+    if refusal is None and plan.max_tokens < requested_tokens:
         # The next attempt asks for as much as the first.
         program.held = 0
         detail = "The budget does not allow another attempt."
@@ -134,12 +138,12 @@
 
     Messages whose tokens no usage has told yet are counted by their bytes.
     """
-    known, tokens = _known_tokens(program, plan)
+    known, tokens = _reported_usage(program, plan)
     rest = prompt_bound(plan.messages[known:])
     return tokens + rest + (_TEMPLATE_TOKENS if known else 0)
 
 
-def _known_tokens(program: Program, plan: Plan) -> tuple[int, int]:
+def _reported_usage(program: Program, plan: Plan) -> tuple[int, int]:
     """Returns how many messages of the prompt usage has counted, and tokens.
 
     The prompt of a kept turn was counted by the engine. Its answer was not:
--- a/libs/entry/src/rattanmill_entry/daemon.py
+++ b/libs/entry/src/rattanmill_entry/daemon.py
@@ -24,7 +24,7 @@
 from rattanmill_entry.admin import admin_routes
 from rattanmill_entry.drain import drain
 from rattanmill_entry.edge import ConnectionLimit, edge_middleware
-from rattanmill_entry.engines import EndpointWatch
+from rattanmill_entry.engines import EndpointMonitor
 from rattanmill_entry.failures import watch_tasks
 from rattanmill_entry.gossip import Gossip, take_config
 from rattanmill_entry.http import caller_routes
@@ -35,7 +35,7 @@
 from rattanmill_entry.serve import serve
 from rattanmill_entry.signs import Signs
 from rattanmill_entry.telemetry import show_state
-from rattanmill_entry.upstream import withholding_trace
+from rattanmill_entry.upstream import send_guard_trace
 from rattanmill_platform import (
     Directory,
     InstanceLease,
@@ -72,7 +72,7 @@
             _session(settings, fresh=True)
         )
         signs = Signs(node)
-        watch = EndpointWatch(node)
+        watch = EndpointMonitor(node)
         node.guard = CrashGuard(node, signs, watch)
         node.memory = EngineMemory(node, watch)
         gossip = Gossip(node, signs)
@@ -133,7 +133,7 @@
             limit=_CONNECTIONS, local_addr=(host, 0), force_close=fresh
         ),
         auto_decompress=False,
-        trace_configs=[withholding_trace()] if fresh else [],
+        trace_configs=[send_guard_trace()] if fresh else [],
         # One caller's cookies must not go out with another's call.
         cookie_jar=aiohttp.DummyCookieJar(),
     )
--- a/libs/entry/src/rattanmill_entry/drain.py
+++ b/libs/entry/src/rattanmill_entry/drain.py
@@ -28,7 +28,7 @@
     notice = loop.time() + node.settings.notice_seconds
     _log.info("Draining.")
     node.draining = True
-    await ownership.handover.give_all(until)
+    await ownership.handover.transfer_all(until)
     await asyncio.sleep(max(0.0, min(notice, until) - loop.time()))
     quiet = await _wait_for(lambda: _is_quiet(node), until)
     for site in sites:
--- a/libs/entry/src/rattanmill_entry/engines.py
+++ b/libs/entry/src/rattanmill_entry/engines.py
@@ -24,32 +24,32 @@
 
 _log = part_logger("engines")
 _T = TypeVar("_T")
-_PROBERS = 2
-_ROUND_SECONDS = 1.0
+_PROBERS_PER_ENDPOINT = 2
+_PROBE_INTERVAL_SECONDS = 1.0
 # An instance with more endpoints than this to probe does so less often: a
 # probe is about 400 bytes with its headers.
 _PROBES_PER_ROUND = 2
-_PROBE_SECONDS = 1.0
+_PROBE_TIMEOUT_SECONDS = 1.0
 # A probe that took longer than this tells of a pause of our own.
-_PAUSE_SECONDS = 2.0
-_SILENT_PROBES = 2
-_OUTAGE_SECONDS = 1.0
-_PROBES_IN_OUTAGE = 16
+_PROCESS_PAUSE_SECONDS = 2.0
+_SILENT_PROBES_TO_CLOSE = 2
+_OUTAGE_WINDOW_SECONDS = 1.0
+_MAX_OUTAGE_PROBES = 16
 _STALL_SECONDS = 3.0
-_STALL_PROBES = 3
+_STALLED_PROBES_TO_CLOSE = 3
 
 
-class Probe(enum.StrEnum):
+class ProbeResult(enum.StrEnum):
     """What a probe found."""
 
     GOOD = "good"
     DRAINING = "draining"
     REFUSED = "refused"
     SILENT = "silent"
-    VOID = "void"
+    INCONCLUSIVE = "void"
 
 
-class _Record:
+class _ProbeHistory:
     """What probing has found of one endpoint so far.
 
     Attributes:
@@ -63,10 +63,10 @@
         self.silent = 0
         self.stalled = 0
         self.queued: int | None = None
-        self.task: asyncio.Task[Probe] | None = None
+        self.task: asyncio.Task[ProbeResult] | None = None
 
 
-class EndpointWatch:
+class EndpointMonitor:
     """Probes and judges endpoints.
 
     Args:
@@ -75,10 +75,10 @@
 
     def __init__(self, node: Node) -> None:
         self.node = node
-        self.records: dict[str, _Record] = {}
-        self.living = {node.settings.name}
+        self.histories: dict[str, _ProbeHistory] = {}
+        self.live_instances = {node.settings.name}
         self.ranks: dict[str, int] = {}
-        self.turn = 0
+        self.round_number = 0
         self.task: asyncio.Task | None = None
         node.table.on_suspect = lambda state: node.spawn(self._check(state))
 
@@ -90,36 +90,38 @@
         if self.task:
             self.task.cancel()
 
-    async def confirm(self, state: EndpointState) -> Probe:
+    async def probe(self, state: EndpointState) -> ProbeResult:
         """Probes an endpoint; those who ask at the same time share a probe.
 
         A probe that was under way before is no answer: it may have begun
         while the endpoint, which has crashed since, was well.
         """
-        record = self.records.setdefault(state.endpoint.name, _Record())
-        earlier = record.task
+        history = self.histories.setdefault(
+            state.endpoint.name, _ProbeHistory()
+        )
+        earlier = history.task
         if earlier is not None:
             await asyncio.shield(earlier)
-        if record.task is None or record.task is earlier:
-            record.task = self.node.spawn(self._probe(state, record))
-            record.task.add_done_callback(
-                lambda task: setattr(record, "task", None)
+        if history.task is None or history.task is earlier:
+            history.task = self.node.spawn(self._run_probe(state, history))
+            history.task.add_done_callback(
+                lambda task: setattr(history, "task", None)
             )
-        return await asyncio.shield(record.task)
+        return await asyncio.shield(history.task)
 
     async def _check(self, state: EndpointState) -> None:
-        for _ in range(_SILENT_PROBES):
-            if await self.confirm(state) is not Probe.SILENT:
+        for _ in range(_SILENT_PROBES_TO_CLOSE):
+            if await self.probe(state) is not ProbeResult.SILENT:
                 return
 
     async def _run(self) -> None:
         while True:
-            await asyncio.sleep(_ROUND_SECONDS)
-            self.turn += 1
-            self._note_living()
+            await asyncio.sleep(_PROBE_INTERVAL_SECONDS)
+            self.round_number += 1
+            self._update_live_instances()
             for state in self._due():
-                self.node.spawn(self.confirm(state))
-            for known in (self.records, self.ranks):
+                self.node.spawn(self.probe(state))
+            for known in (self.histories, self.ranks):
                 for name in known.keys() - self.node.table.states.keys():
                     del known[name]
 
@@ -131,25 +133,25 @@
         us, to find out when it can be reached again.
         """
         urgent = []
-        calm = []
+        routine = []
         domain = self.node.settings.domain
         for state in self.node.table.states.values():
-            if state.running and self._is_stuck(state):
+            if state.running and self._is_stalled(state):
                 urgent.append(state)
             elif (
                 (state.endpoint.domain == domain or state.closed)
                 and state.listed
-                and self._rank(state) < _PROBERS
+                and self._rank(state) < _PROBERS_PER_ENDPOINT
             ):
-                (urgent if self._is_urgent(state) else calm).append(state)
-        rounds = -(-len(calm) // _PROBES_PER_ROUND) or 1
-        return urgent + calm[self.turn % rounds :: rounds]
+                (urgent if self._is_urgent(state) else routine).append(state)
+        rounds = -(-len(routine) // _PROBES_PER_ROUND) or 1
+        return urgent + routine[self.round_number % rounds :: rounds]
 
     def _is_urgent(self, state: EndpointState) -> bool:
-        record = self.records.get(state.endpoint.name)
-        return state.closed or bool(record and record.silent)
+        history = self.histories.get(state.endpoint.name)
+        return state.closed or bool(history and history.silent)
 
-    def is_first(self, state: EndpointState) -> bool:
+    def is_primary(self, state: EndpointState) -> bool:
         """Whether this instance does what one instance does for an engine."""
         own = state.endpoint.domain == self.node.settings.domain
         return own and self._rank(state) == 0
@@ -162,63 +164,69 @@
         """
         name = state.endpoint.name
         if name not in self.ranks:
-            ranked = sorted(self.living, key=lambda each: _weight(each, name))
+            ranked = sorted(
+                self.live_instances, key=lambda each: _weight(each, name)
+            )
             self.ranks[name] = ranked.index(self.node.settings.name)
         return self.ranks[name]
 
-    def _note_living(self) -> None:
+    def _update_live_instances(self) -> None:
         """Notes which instances of our domain are not known to be dead."""
         node = self.node
-        living = {
+        live_instances = {
             record.name
             for record in node.live.instances.values()
             if record.domain == node.settings.domain
             and record.name not in node.suspects
         }
-        living.add(node.settings.name)
-        if living != self.living:
-            self.living = living
+        live_instances.add(node.settings.name)
+        if live_instances != self.live_instances:
+            self.live_instances = live_instances
             self.ranks.clear()
 
-    def _is_stuck(self, state: EndpointState) -> bool:
+    def _is_stalled(self, state: EndpointState) -> bool:
         """Whether our calls there have made no progress for a while."""
         idle = loop_seconds() - state.progress_at
         return bool(state.running) and idle > _STALL_SECONDS
 
-    async def _probe(self, state: EndpointState, record: _Record) -> Probe:
+    async def _run_probe(
+        self, state: EndpointState, history: _ProbeHistory
+    ) -> ProbeResult:
         began = loop_seconds()
-        found, load = await self._ask(state)
-        if loop_seconds() - began > _PAUSE_SECONDS:
+        found, load = await self._query(state)
+        if loop_seconds() - began > _PROCESS_PAUSE_SECONDS:
             # We were stopped, not the endpoint: its answer may have been
             # there all the time.
-            found = Probe.VOID
+            found = ProbeResult.INCONCLUSIVE
         self.node.metrics.count("rattanmill_probes", found=found)
-        self._judge(state, record, found, load)
+        self._apply_result(state, history, found, load)
         return found
 
-    async def _ask(self, state: EndpointState) -> tuple[Probe, Load | None]:
+    async def _query(
+        self, state: EndpointState
+    ) -> tuple[ProbeResult, Load | None]:
         try:
             if state.endpoint.kind != "engine":
                 await self._connect(state.endpoint.url)
-                return Probe.GOOD, None
+                return ProbeResult.GOOD, None
             load = await self._read_load(state.endpoint.url)
         except (
             aiohttp.ConnectionTimeoutError,
             aiohttp.ServerTimeoutError,
             TimeoutError,
         ):
-            return Probe.SILENT, None
+            return ProbeResult.SILENT, None
         except (aiohttp.ClientError, OSError):
-            return Probe.REFUSED, None
+            return ProbeResult.REFUSED, None
         if load and load.draining:
-            return Probe.DRAINING, load
-        return Probe.GOOD, load
+            return ProbeResult.DRAINING, load
+        return ProbeResult.GOOD, load
 
     async def _connect(self, url: str) -> None:
         """Opens and closes a connection: a plain service has no probe."""
         host, port = url.rsplit("//", 1)[1].split("/")[0].rsplit(":", 1)
         local = (self.node.settings.http.rsplit(":", 1)[0], 0)
-        async with asyncio.timeout(_PROBE_SECONDS):
+        async with asyncio.timeout(_PROBE_TIMEOUT_SECONDS):
             _, writer = await asyncio.open_connection(
                 host.strip("[]"), int(port), local_addr=local
             )
@@ -230,7 +238,7 @@
         One that is kept would still be answered by a process that is leaving
         and has closed its listening socket.
         """
-        timeout = aiohttp.ClientTimeout(total=_PROBE_SECONDS)
+        timeout = aiohttp.ClientTimeout(total=_PROBE_TIMEOUT_SECONDS)
         async with self.node.act_session.get(
             f"{url}/v1/load", timeout=timeout
         ) as answer:
@@ -240,38 +248,40 @@
         except msgspec.DecodeError:
             return None
 
-    def _judge(
+    def _apply_result(
         self,
         state: EndpointState,
-        record: _Record,
-        found: Probe,
+        history: _ProbeHistory,
+        found: ProbeResult,
         load: Load | None,
     ) -> None:
         table = self.node.table
-        if found is Probe.VOID:
+        if found is ProbeResult.INCONCLUSIVE:
             return
-        record.silent = record.silent + 1 if found is Probe.SILENT else 0
+        history.silent = (
+            history.silent + 1 if found is ProbeResult.SILENT else 0
+        )
         if load:
             state.report(load)
-        if found is Probe.REFUSED:
+        if found is ProbeResult.REFUSED:
             if not state.reach.closed:
                 table.close(state, Aspect.REACH, Sign.REFUSED)
                 self._suspect_outage(state)
-        elif record.silent >= _SILENT_PROBES:
+        elif history.silent >= _SILENT_PROBES_TO_CLOSE:
             table.close(state, Aspect.REACH, Sign.SILENT)
-        elif found is Probe.DRAINING:
+        elif found is ProbeResult.DRAINING:
             table.close(state, Aspect.DEPARTURE, Sign.DRAINING)
-        moves = self._moves(state, record, load)
-        if record.stalled >= _STALL_PROBES:
+        progresses = self._makes_progress(state, history, load)
+        if history.stalled >= _STALLED_PROBES_TO_CLOSE:
             table.close(state, Aspect.REACH, Sign.STALLED)
-        answered = found in (Probe.GOOD, Probe.DRAINING)
-        if answered and not self._is_stuck(state):
+        answered = found in (ProbeResult.GOOD, ProbeResult.DRAINING)
+        if answered and not self._is_stalled(state):
             state.avoid_until = 0.0
         now = loop_seconds()
-        if state.reach.probed(answered and moves, now):
+        if state.reach.probed(answered and progresses, now):
             table.reopen(state, Aspect.REACH)
             _log.info("Endpoint {} works again.", state.endpoint.name)
-        back = found is Probe.GOOD and state.endpoint.state == "live"
+        back = found is ProbeResult.GOOD and state.endpoint.state == "live"
         if state.departure.probed(back and state.listed, now):
             table.reopen(state, Aspect.DEPARTURE)
             _log.info("Endpoint {} is back.", state.endpoint.name)
@@ -282,18 +292,22 @@
         In an outage a call would else be moved from one dead endpoint to the
         next until its tries are used up.
         """
-        since = loop_seconds() - _OUTAGE_SECONDS
-        beside = self._beside(state)
-        if any(s.reach.closed and s.reach.changed_at > since for s in beside):
-            self.node.spawn(self.look_beside(state, _PROBES_IN_OUTAGE))
+        since = loop_seconds() - _OUTAGE_WINDOW_SECONDS
+        siblings = self._siblings(state)
+        if any(s.reach.closed and s.reach.changed_at > since for s in siblings):
+            self.node.spawn(self.probe_siblings(state, _MAX_OUTAGE_PROBES))
 
-    async def look_beside(self, state: EndpointState, most: int) -> None:
+    async def probe_siblings(
+        self, state: EndpointState, max_probes: int
+    ) -> None:
         """Probes some others of an endpoint's kind in its failure domain."""
-        beside = [other for other in self._beside(state) if not other.closed]
-        chosen = random.sample(beside, min(most, len(beside)))
-        await asyncio.gather(*map(self.confirm, chosen))
+        siblings = [
+            other for other in self._siblings(state) if not other.closed
+        ]
+        chosen = random.sample(siblings, min(max_probes, len(siblings)))
+        await asyncio.gather(*map(self.probe, chosen))
 
-    def _beside(self, state: EndpointState) -> list[EndpointState]:
+    def _siblings(self, state: EndpointState) -> list[EndpointState]:
         return [
             other
             for other in self.node.table.states.values()
@@ -302,8 +316,8 @@
             and other.endpoint.kind == state.endpoint.kind
         ]
 
-    def _moves(
-        self, state: EndpointState, record: _Record, load: Load | None
+    def _makes_progress(
+        self, state: EndpointState, history: _ProbeHistory, load: Load | None
     ) -> bool:
         """Whether an engine that has work gets on with it.
 
@@ -313,15 +327,15 @@
         """
         if load is None:
             return True
-        before, record.queued = record.queued, load.queued_tokens
+        before, history.queued = history.queued, load.queued_tokens
         busy = load.waiting + load.running > 0
-        moves = not busy or before is None or load.queued_tokens < before
-        stalled = self._is_stuck(state) and not moves
-        record.stalled = record.stalled + 1 if stalled else 0
-        return moves
+        progresses = not busy or before is None or load.queued_tokens < before
+        stalled = self._is_stalled(state) and not progresses
+        history.stalled = history.stalled + 1 if stalled else 0
+        return progresses
 
 
-async def until_closed(
+async def stop_when_closed(
     parts: AsyncGenerator[_T], state: EndpointState
 ) -> AsyncIterator[_T | Failed]:
     """Yields the parts of an answer, or a failure if its endpoint is given up.
--- a/libs/entry/src/rattanmill_entry/gossip.py
+++ b/libs/entry/src/rattanmill_entry/gossip.py
@@ -156,7 +156,7 @@
             case EndpointNotes():
                 self.signs.hear(message)
             case PinsHeld():
-                node.memory.hear(message)
+                node.memory.handle_pins_held(message)
 
     def _hear(self, message: Heartbeat, answer: Answer) -> None:
         node = self.node
--- a/libs/entry/src/rattanmill_entry/handover.py
+++ b/libs/entry/src/rattanmill_entry/handover.py
@@ -7,7 +7,7 @@
 from rattanmill_core import loop_seconds
 from rattanmill_entry.members import share, staying
 from rattanmill_entry.node import Node, Parting
-from rattanmill_entry.owners import NOBODY, give_shard
+from rattanmill_entry.owners import NO_OWNER, transfer_shard
 from rattanmill_platform import (
     Conflict,
     DomainShards,
@@ -16,9 +16,9 @@
 )
 from rattanmill_programs import Shard
 
-_FLUSH_SECONDS = 5.0
-_MOVE_SECONDS = 1.0
-_MOVE_PAUSE_SECONDS = 10.0
+_FLUSH_TIMEOUT_SECONDS = 5.0
+_MOVE_DRAIN_SECONDS = 1.0
+_MOVE_RETRY_SECONDS = 10.0
 
 
 class Handover:
@@ -34,19 +34,19 @@
     """
 
     def __init__(
-        self, node: Node, note: Callable[[DomainShards], None]
+        self, node: Node, record_owners: Callable[[DomainShards], None]
     ) -> None:
         self.node = node
         self.domain = node.settings.domain
-        self.note = note
-        self.unsure = False
+        self.record_owners = record_owners
+        self.write_uncertain = False
         self.moving: asyncio.Task | None = None
-        self.next_move = 0.0
+        self.next_move_at = 0.0
 
-    def balance(self, owners: DomainShards | None) -> None:
+    def rebalance(self, owners: DomainShards | None) -> None:
         """Begins to give a shard to an instance with less than its share."""
         moving = self.moving and not self.moving.done()
-        if owners is None or moving or time.monotonic() < self.next_move:
+        if owners is None or moving or time.monotonic() < self.next_move_at:
             return
         living = staying(self.node)
         held = {
@@ -54,28 +54,28 @@
             for name, incarnation in living.items()
         }
         mine = held.get(self.node.settings.name, 0)
-        poorest = min(held, key=lambda other: held[other], default="")
+        least_loaded = min(held, key=lambda other: held[other], default="")
         if (
             mine <= share(self.node, len(owners.shards))
-            or held[poorest] + 1 >= mine
+            or held[least_loaded] + 1 >= mine
         ):
             return
         shards = self.node.shards.values()
         shard = min(shards, key=lambda s: s.active, default=None)
         if shard:
-            self.moving = self.node.spawn(self._move(shard, poorest))
+            self.moving = self.node.spawn(self._move(shard, least_loaded))
 
     async def _move(self, shard: Shard, target: str) -> None:
         """Moves a shard while the instance goes on; gives up if it is busy."""
-        if not await self._give(shard, target, _MOVE_SECONDS):
-            self.next_move = time.monotonic() + _MOVE_PAUSE_SECONDS
+        if not await self._transfer(shard, target, _MOVE_DRAIN_SECONDS):
+            self.next_move_at = time.monotonic() + _MOVE_RETRY_SECONDS
 
-    async def _give(
+    async def _transfer(
         self,
         shard: Shard,
         target: str,
-        patience: float,
-        flush_seconds: float = _FLUSH_SECONDS,
+        drain_seconds: float,
+        flush_seconds: float = _FLUSH_TIMEOUT_SECONDS,
     ) -> bool:
         """Hands one shard over after its running turns are finished.
 
@@ -87,45 +87,47 @@
             return False
         self.node.parting[key] = Parting(shard, loop_seconds())
         try:
-            ready = await shard.drain(patience)
+            ready = await shard.drain(drain_seconds)
             ready = ready and await shard.log.flush(flush_seconds)
-            changed = await self._store_gift(shard, target) if ready else None
+            changed = (
+                await self._write_transfer(shard, target) if ready else None
+            )
         finally:
             del self.node.parting[key]
         if isinstance(changed, Unavailable):
             # It may be another's already: load it anew if it is not.
-            self.unsure = True
+            self.write_uncertain = True
             shard.log.stop()
             return False
         if isinstance(changed, DomainShards):
             shard.log.stop()
-            self.note(changed)
+            self.record_owners(changed)
             self.node.metrics.count("rattanmill_owner_changes")
             return True
         if not shard.log.fenced:
             self.node.shards[key] = shard
         return False
 
-    def _owner(self, name: str) -> ShardOwner:
+    def _owner_record(self, name: str) -> ShardOwner:
         """Returns an instance as an owner; nobody if it is not known."""
         record = self.node.live.instances.get(name)
         if record is None:
-            return NOBODY
+            return NO_OWNER
         return ShardOwner(name, record.incarnation, 0, record.peer)
 
-    async def _store_gift(
+    async def _write_transfer(
         self, shard: Shard, target: str
     ) -> DomainShards | Conflict | Unavailable | None:
         owners = self.node.live.shards.get(self.domain)
-        new = self._owner(target)
-        if owners is None or (target and new is NOBODY):
+        new = self._owner_record(target)
+        if owners is None or (target and new is NO_OWNER):
             return None
         old = owners.shards[shard.number]
-        return await give_shard(
+        return await transfer_shard(
             self.node.kv, self.domain, shard.number, old, new
         )
 
-    async def give_all(self, until: float) -> None:
+    async def transfer_all(self, until: float) -> None:
         """Hands each shard on as soon as it is quiet, until that loop time.
 
         One shard with a long stream must not keep all others from their next
@@ -135,34 +137,36 @@
             await asyncio.wait([self.moving])
         shards = list(self.node.shards.values())
         left = max(0.0, until - time.monotonic())
-        others = self._successors()
-        gifts = [
-            self._give(shard, others[index % len(others)], left, left)
+        successors = self._successors()
+        transfers = [
+            self._transfer(
+                shard, successors[index % len(successors)], left, left
+            )
             for index, shard in enumerate(shards)
         ]
-        await asyncio.gather(*gifts)
+        await asyncio.gather(*transfers)
 
     def _successors(self) -> list[str]:
         """Who may get our shards when we leave; nobody if we are the last."""
         name = self.node.settings.name
         return [other for other in staying(self.node) if other != name] or [""]
 
-    async def return_given(self, owners: DomainShards | None) -> None:
+    async def forward_received(self, owners: DomainShards | None) -> None:
         """Passes on shards that were given to us while we shut down.
 
         Whoever gave them had not heard of the shutdown. Left alone, their
         programs would have no owner until this process has ended.
         """
-        others = self._successors()
+        successors = self._successors()
         for number, owner in enumerate(owners.shards if owners else ()):
             key = (self.domain, number)
             here = key in self.node.shards or key in self.node.parting
             mine = owner.incarnation == self.node.incarnation
             if not mine or here:
                 continue
-            new = self._owner(others[number % len(others)])
-            changed = await give_shard(
+            new = self._owner_record(successors[number % len(successors)])
+            changed = await transfer_shard(
                 self.node.kv, self.domain, number, owner, new
             )
             if isinstance(changed, DomainShards):
-                self.note(changed)
+                self.record_owners(changed)
--- a/libs/entry/src/rattanmill_entry/http.py
+++ b/libs/entry/src/rattanmill_entry/http.py
@@ -27,7 +27,7 @@
     problem_response,
 )
 from rattanmill_entry.replies import Reply, refused
-from rattanmill_entry.route import act_shard, dispatch, home_shard
+from rattanmill_entry.route import act_shard, dispatch, new_program_shard
 from rattanmill_programs import LOOSE_TOKEN
 from rattanmill_wire import (
     CallKind,
@@ -111,7 +111,7 @@
         refusal = refuse(Reason.UNKNOWN_PROGRAM, "The parent is no program id.")
         return problem_response(refusal, node.metrics)
     parent = parse_program_id(parent_id)
-    shard = home_shard(node)
+    shard = new_program_shard(node)
     if parent:
         shard = f"{parent.domain}.{parent.shard}.{LOOSE_TOKEN}"
     start = _start(request, CallKind.CREATE, shard, body)
--- a/libs/entry/src/rattanmill_entry/memory.py
+++ b/libs/entry/src/rattanmill_entry/memory.py
@@ -22,7 +22,7 @@
     start_loop,
 )
 from rattanmill_entry.attempts import ChatRun
-from rattanmill_entry.engines import EndpointWatch
+from rattanmill_entry.engines import EndpointMonitor
 from rattanmill_entry.expiry import end_expired
 from rattanmill_entry.node import Node
 from rattanmill_entry.route import owner_of
@@ -31,23 +31,23 @@
 from rattanmill_wire import PinsHeld
 
 _log = part_logger("memory")
-_ROUND_SECONDS = 1.0
-_LEAST_SWEEP_SECONDS = 3.0
+_RELEASE_INTERVAL_SECONDS = 1.0
+_MIN_SWEEP_INTERVAL_SECONDS = 3.0
 # The more pins were read, the longer until the next engine is swept: with the
 # message to the owner, a pin is about 130 bytes.
-_PIN_BYTES = 130
-_SWEEP_BYTES_PER_SECOND = 500
-_ORDER_SECONDS = 2.0
-_FENCED = 412
+_BYTES_PER_PIN = 130
+_MAX_SWEEP_BYTES_PER_SECOND = 500
+_REQUEST_TIMEOUT_SECONDS = 2.0
+_FENCED_STATUS = 412
 
 
-class _HeldPin(msgspec.Struct):
+class _ReportedPin(msgspec.Struct):
     owner: str
     epoch: int = 0
 
 
-class _HeldPins(msgspec.Struct):
-    pins: list[_HeldPin]
+class _ReportedPins(msgspec.Struct):
+    pins: list[_ReportedPin]
 
 
 class EngineMemory:
@@ -58,12 +58,12 @@
         watch: Tells which engines this instance sweeps.
     """
 
-    def __init__(self, node: Node, watch: EndpointWatch) -> None:
+    def __init__(self, node: Node, monitor: EndpointMonitor) -> None:
         self.node = node
-        self.watch = watch
-        self.programs: dict[str, Pinned] = {}
-        self.swept = 0
-        self.sweep_at = 0.0
+        self.monitor = monitor
+        self.pinned_programs: dict[str, Pinned] = {}
+        self.sweep_index = 0
+        self.next_sweep_at = 0.0
         self.task: asyncio.Task | None = None
 
     async def __aenter__(self) -> Self:
@@ -74,19 +74,19 @@
         if self.task:
             self.task.cancel()
 
-    def turn_began(self, program: str) -> None:
+    def turn_started(self, program: str) -> None:
         """Learns how long the program's tool pause was."""
-        if pinned := self.programs.get(program):
+        if pinned := self.pinned_programs.get(program):
             pinned.returned(loop_seconds())
 
-    def turn_ended(self, run: ChatRun, state: EndpointState) -> None:
+    def turn_finished(self, run: ChatRun, state: EndpointState) -> None:
         """Keeps the program's cache where its turn ran, if that is worth it."""
         program = run.work.program
-        found = self._owned(program)
+        found = self._find_owned(program)
         if found is None:
             return
         shard, _ = found
-        pinned = self.programs.setdefault(program, Pinned())
+        pinned = self.pinned_programs.setdefault(program, Pinned())
         pinned.paused_at = loop_seconds()
         name = state.endpoint.name
         for other in [n for n in pinned.pins if n != name]:
@@ -101,7 +101,7 @@
             pinned.pins[name] = Pin(tokens, pinned.deadline(loop_seconds()))
             self.node.spawn(self._pin(run, state))
 
-    def hear(self, message: PinsHeld) -> None:
+    def handle_pins_held(self, message: PinsHeld) -> None:
         """Lets go of reported pins whose programs have ended.
 
         Only as the shard's owner with a valid lease: an owner that was paused
@@ -115,14 +115,14 @@
             return
         for program, epoch in message.pins:
             if epoch <= shard.epoch:
-                self._judge(shard, program, message.endpoint)
+                self._check_pin(shard, program, message.endpoint)
 
-    def _judge(self, shard: Shard, program: str, engine: str) -> None:
+    def _check_pin(self, shard: Shard, program: str, engine: str) -> None:
         known = shard.programs.get(program)
         if known is None or known.ended is not None:
             self._release(shard, program, engine, "swept")
             return
-        pinned = self.programs.setdefault(program, Pinned())
+        pinned = self.pinned_programs.setdefault(program, Pinned())
         if not pinned.pins:
             # Pinned by an owner before us.
             pinned.pins[engine] = Pin(0, pinned.deadline(loop_seconds()))
@@ -132,23 +132,27 @@
 
     async def _run(self) -> None:
         while True:
-            await asyncio.sleep(_ROUND_SECONDS)
+            await asyncio.sleep(_RELEASE_INTERVAL_SECONDS)
             await end_expired(self.node)
-            self._let_go()
-            if loop_seconds() >= self.sweep_at and (state := self._to_sweep()):
-                self.sweep_at = loop_seconds() + _LEAST_SWEEP_SECONDS
+            self._release_stale_pins()
+            if loop_seconds() >= self.next_sweep_at and (
+                state := self._next_to_sweep()
+            ):
+                self.next_sweep_at = (
+                    loop_seconds() + _MIN_SWEEP_INTERVAL_SECONDS
+                )
                 self.node.spawn(self._sweep(state))
 
-    def _let_go(self) -> None:
+    def _release_stale_pins(self) -> None:
         """Releases what ended programs and overdue pauses hold."""
         if not self.node.lease.holds():
             return
         now = loop_seconds()
-        for program, pinned in list(self.programs.items()):
-            found = self._owned(program)
+        for program, pinned in list(self.pinned_programs.items()):
+            found = self._find_owned(program)
             if found is None:
                 # Another instance owns it and finds its pins by the sweep.
-                del self.programs[program]
+                del self.pinned_programs[program]
                 continue
             shard, known = found
             ended = known.ended is not None
@@ -158,9 +162,9 @@
                 elif now > pin.until and not known.waiting:
                     self._release(shard, program, engine, "overdue")
             if ended:
-                self.programs.pop(program, None)
+                self.pinned_programs.pop(program, None)
 
-    def _owned(self, program: str) -> tuple[Shard, Program] | None:
+    def _find_owned(self, program: str) -> tuple[Shard, Program] | None:
         parsed = parse_program_id(program)
         if parsed is None:
             return None
@@ -171,7 +175,7 @@
     def _tokens_at(self, engine: str) -> int:
         return sum(
             pinned.pins[engine].tokens
-            for pinned in self.programs.values()
+            for pinned in self.pinned_programs.values()
             if engine in pinned.pins
         )
 
@@ -182,13 +186,13 @@
             "messages": [msgspec.Raw(message) for message in run.messages],
             "fence": run.fence,
         }
-        await self._order(state.endpoint.url, "/v1/pins", body, "pinned")
+        await self._send_request(state.endpoint.url, "/v1/pins", body, "pinned")
 
     def _release(
         self, shard: Shard, program: str, engine: str, why: str
     ) -> None:
         """Lets go of one pin; if the order is lost, the sweep finds it."""
-        if pinned := self.programs.get(program):
+        if pinned := self.pinned_programs.get(program):
             pinned.pins.pop(engine, None)
         state = self.node.table.states.get(engine)
         if state is None:
@@ -196,10 +200,12 @@
         fence = f"{shard.domain}.{shard.number}:{shard.epoch}"
         body = {"owner": program, "fence": fence}
         url = state.endpoint.url
-        self.node.spawn(self._order(url, "/v1/pins/release", body, why))
+        self.node.spawn(self._send_request(url, "/v1/pins/release", body, why))
 
-    async def _order(self, url: str, path: str, body: dict, what: str) -> None:
-        timeout = aiohttp.ClientTimeout(total=_ORDER_SECONDS)
+    async def _send_request(
+        self, url: str, path: str, body: dict, what: str
+    ) -> None:
+        timeout = aiohttp.ClientTimeout(total=_REQUEST_TIMEOUT_SECONDS)
         try:
             async with self.node.session.post(
                 url + path,
@@ -212,52 +218,58 @@
         except (aiohttp.ClientError, TimeoutError, OSError):
             self._count("lost")
             return
-        if status == _FENCED:
+        if status == _FENCED_STATUS:
             self._count("fenced")
         else:
             self._count(what if status == 200 else "failed")
 
-    def _to_sweep(self) -> EndpointState | None:
+    def _next_to_sweep(self) -> EndpointState | None:
         """Returns the next engine whose pins this instance reads."""
         mine = [
             state
             for state in self.node.table.states.values()
             if state.endpoint.kind == "engine"
             and not state.reach.closed
-            and self.watch.is_first(state)
+            and self.monitor.is_primary(state)
         ]
-        self.swept += 1
-        return mine[self.swept % len(mine)] if mine else None
+        self.sweep_index += 1
+        return mine[self.sweep_index % len(mine)] if mine else None
 
     async def _sweep(self, state: EndpointState) -> None:
-        held = await self._read_pins(state)
-        if held is None:
+        reported = await self._read_pins(state)
+        if reported is None:
             return
         self.node.metrics.count("rattanmill_pin_sweeps")
-        seconds = len(held) * _PIN_BYTES / _SWEEP_BYTES_PER_SECOND
-        self.sweep_at = loop_seconds() + max(_LEAST_SWEEP_SECONDS, seconds)
+        seconds = len(reported) * _BYTES_PER_PIN / _MAX_SWEEP_BYTES_PER_SECOND
+        self.next_sweep_at = loop_seconds() + max(
+            _MIN_SWEEP_INTERVAL_SECONDS, seconds
+        )
         by_shard: dict[tuple[str, int], list[tuple[str, int]]] = {}
-        for pin in held:
+        for pin in reported:
             if parsed := parse_program_id(pin.owner):
                 key = (parsed.domain, parsed.shard)
                 by_shard.setdefault(key, []).append((pin.owner, pin.epoch))
         for (domain, number), pins in by_shard.items():
             message = PinsHeld(state.endpoint.name, f"{domain}.{number}", pins)
-            await self._tell(domain, number, message)
+            await self._send_to_owner(domain, number, message)
 
-    async def _tell(self, domain: str, number: int, message: PinsHeld) -> None:
+    async def _send_to_owner(
+        self, domain: str, number: int, message: PinsHeld
+    ) -> None:
         if (domain, number) in self.node.shards:
-            self.hear(message)
+            self.handle_pins_held(message)
         elif owner := owner_of(self.node, domain, number):
             await self.node.link(owner).send(message)
 
-    async def _read_pins(self, state: EndpointState) -> list[_HeldPin] | None:
-        timeout = aiohttp.ClientTimeout(total=_ORDER_SECONDS)
+    async def _read_pins(
+        self, state: EndpointState
+    ) -> list[_ReportedPin] | None:
+        timeout = aiohttp.ClientTimeout(total=_REQUEST_TIMEOUT_SECONDS)
         url = f"{state.endpoint.url}/v1/pins"
         try:
             async with self.node.session.get(url, timeout=timeout) as answer:
                 body = await answer.read()
-            return msgspec.json.decode(body, type=_HeldPins).pins
+            return msgspec.json.decode(body, type=_ReportedPins).pins
         except (
             aiohttp.ClientError,
             TimeoutError,
--- a/libs/entry/src/rattanmill_entry/overlap.py
+++ b/libs/entry/src/rattanmill_entry/overlap.py
@@ -20,52 +20,52 @@
 
     def __init__(self) -> None:
         self.delivered: dict[_Path, list[str]] = {}
-        self.missing: dict[_Path, str] = {}
+        self.unrepeated: dict[_Path, str] = {}
 
-    def restart(self) -> None:
+    def start_run(self) -> None:
         """Begins the comparison with a new run."""
-        self.missing = {k: "".join(v) for k, v in self.delivered.items()}
+        self.unrepeated = {k: "".join(v) for k, v in self.delivered.items()}
 
     @property
     def is_complete(self) -> bool:
         """Whether the new run has repeated everything delivered."""
-        return not any(self.missing.values())
+        return not any(self.unrepeated.values())
 
-    def take(self, fields: dict) -> dict | Mismatch:
+    def take_undelivered(self, fields: dict) -> dict | Mismatch:
         """Returns the part of a delta that has not been delivered yet."""
-        for path, text in _texts(fields):
-            missing = self.missing.get(path, "")
-            count = min(len(missing), len(text))
-            if missing[:count] != text[:count]:
+        for path, text in _string_fields(fields):
+            unrepeated = self.unrepeated.get(path, "")
+            count = min(len(unrepeated), len(text))
+            if unrepeated[:count] != text[:count]:
                 return Mismatch()
-        return self._rest(fields)
+        return self._strip_repeated(fields)
 
-    def _rest(self, fields: dict) -> dict:
+    def _strip_repeated(self, fields: dict) -> dict:
         rest = fields
-        for path, text in list(_texts(fields)):
-            missing = self.missing.get(path, "")
-            if missing:
-                self.missing[path] = missing[len(text) :]
-                rest = _shorten(rest, path, len(missing))
-            if new := text[len(missing) :]:
+        for path, text in list(_string_fields(fields)):
+            unrepeated = self.unrepeated.get(path, "")
+            if unrepeated:
+                self.unrepeated[path] = unrepeated[len(text) :]
+                rest = _drop_prefix(rest, path, len(unrepeated))
+            if new := text[len(unrepeated) :]:
                 self.delivered.setdefault(path, []).append(new)
         return rest
 
 
-def _texts(fields: dict, at: _Path = ()) -> Iterator[tuple[_Path, str]]:
+def _string_fields(fields: dict, at: _Path = ()) -> Iterator[tuple[_Path, str]]:
     """Yields path and text of each string in a delta."""
     for name, value in fields.items():
         if isinstance(value, str):
             yield (*at, name), value
         elif isinstance(value, dict):
-            yield from _texts(value, (*at, name))
+            yield from _string_fields(value, (*at, name))
         elif name == "tool_calls" and isinstance(value, list):
             for call in value:
                 index = str(call.get("index", 0))
-                yield from _texts(call, (*at, name, index))
+                yield from _string_fields(call, (*at, name, index))
 
 
-def _shorten(fields: dict, path: _Path, count: int) -> dict:
+def _drop_prefix(fields: dict, path: _Path, count: int) -> dict:
     """Returns the delta without the first letters of one of its strings."""
     name, *rest = path
     value = fields[name]
@@ -76,11 +76,11 @@
     if name == "tool_calls":
         index, *inner = rest
         value = [
-            _shorten(call, tuple(inner), count)
+            _drop_prefix(call, tuple(inner), count)
             if str(call.get("index", 0)) == index
             else call
             for call in value
         ]
     else:
-        value = _shorten(value, tuple(rest), count)
+        value = _drop_prefix(value, tuple(rest), count)
     return {**fields, name: value}
--- a/libs/entry/src/rattanmill_entry/owners.py
+++ b/libs/entry/src/rattanmill_entry/owners.py
@@ -22,12 +22,12 @@
 from rattanmill_platform.live import shards_key
 
 _log = part_logger("owner")
-NOBODY = ShardOwner("", "", 0)
-_TRIES = 5
-_PAUSE_SECONDS = 0.1
+NO_OWNER = ShardOwner("", "", 0)
+_MAX_TRIES = 5
+_MAX_RETRY_PAUSE_SECONDS = 0.1
 
 
-class Stored(msgspec.Struct, frozen=True):
+class StoredOwners(msgspec.Struct, frozen=True):
     """The owners as stored, and the revision that wrote them (0: none)."""
 
     owners: DomainShards
@@ -36,7 +36,7 @@
 
 async def read_owners(
     kv: KvClient, domain: str, count: int
-) -> Stored | Unavailable:
+) -> StoredOwners | Unavailable:
     """Reads the owners; nobody owns any of ``count`` shards at first."""
     found = await kv.read(shards_key(domain))
     if isinstance(found, Unavailable):
@@ -46,14 +46,14 @@
             owners = msgspec.json.decode(found.entry.value, type=DomainShards)
         except msgspec.DecodeError as error:
             return Unavailable(f"owners of {domain} do not decode: {error}")
-        return Stored(owners, found.entry.revision)
-    return Stored(DomainShards(0, [NOBODY] * count), 0)
+        return StoredOwners(owners, found.entry.revision)
+    return StoredOwners(DomainShards(0, [NO_OWNER] * count), 0)
 
 
 async def write_owners(
     kv: KvClient,
     domain: str,
-    stored: Stored,
+    stored: StoredOwners,
     targets: dict[int, ShardOwner],
 ) -> DomainShards | Conflict | Unavailable:
     """Writes new owners of some shards over what was read.
@@ -81,7 +81,7 @@
     return changed
 
 
-async def give_shard(
+async def transfer_shard(
     kv: KvClient, domain: str, number: int, old: ShardOwner, new: ShardOwner
 ) -> DomainShards | Conflict | Unavailable:
     """Gives one shard from ``old`` to ``new`` if it still is its owner's.
@@ -90,7 +90,7 @@
     a conflict with those is tried again.
     """
     outcome: DomainShards | Conflict | Unavailable = Conflict(0)
-    for _ in range(_TRIES):
+    for _ in range(_MAX_TRIES):
         stored = await read_owners(kv, domain, 0)
         if isinstance(stored, Unavailable):
             return stored
@@ -99,5 +99,5 @@
         outcome = await write_owners(kv, domain, stored, {number: new})
         if not isinstance(outcome, Conflict):
             return outcome
-        await asyncio.sleep(random.uniform(0, _PAUSE_SECONDS))
+        await asyncio.sleep(random.uniform(0, _MAX_RETRY_PAUSE_SECONDS))
     return outcome
--- a/libs/entry/src/rattanmill_entry/ownership.py
+++ b/libs/entry/src/rattanmill_entry/ownership.py
@@ -10,7 +10,7 @@
 from rattanmill_entry.members import living_instances, share
 from rattanmill_entry.node import Node
 from rattanmill_entry.owners import (
-    NOBODY,
+    NO_OWNER,
     read_owners,
     write_owners,
 )
@@ -34,9 +34,9 @@
 )
 
 _log = part_logger("owner")
-_ROUND_SECONDS = 0.25
-_BROKEN_PAUSE_SECONDS = 30.0
-_TIDY_SECONDS = 5.0
+_RECONCILE_INTERVAL_SECONDS = 0.25
+_BROKEN_LOG_RETRY_SECONDS = 30.0
+_MAINTENANCE_INTERVAL_SECONDS = 5.0
 
 
 class Ownership:
@@ -52,13 +52,13 @@
         self.domain = node.settings.domain
         self.wake = asyncio.Event()
         self.tasks: list[asyncio.Task] = []
-        self.handover = Handover(node, self.note)
-        self.not_before: dict[tuple[str, int], float] = {}
+        self.handover = Handover(node, self.record_owners)
+        self.retry_at: dict[tuple[str, int], float] = {}
 
     async def __aenter__(self) -> Self:
         self.tasks = [
             self.node.run_beside(self._run()),
-            self.node.run_beside(self._tidy_for_ever()),
+            self.node.run_beside(self._run_maintenance()),
         ]
         return self
 
@@ -69,45 +69,47 @@
     async def _run(self) -> None:
         while True:
             try:
-                await asyncio.wait_for(self.wake.wait(), _ROUND_SECONDS)
+                await asyncio.wait_for(
+                    self.wake.wait(), _RECONCILE_INTERVAL_SECONDS
+                )
             except TimeoutError:
                 pass
             self.wake.clear()
             try:
-                await self.step()
+                await self.reconcile()
             except Exception as error:
                 raise InvariantError(
                     f"Shards cannot be kept: {error!r}"
                 ) from error
 
-    async def step(self) -> None:
+    async def reconcile(self) -> None:
         """Drops what is lost, loads what is ours, claims what is free."""
         node = self.node
         self._drop_lost()
         if not node.live.synced or not node.config.domains:
             return
-        if node.lease.interrupted or self.handover.unsure:
-            await self._confirm()
+        if node.lease.interrupted or self.handover.write_uncertain:
+            await self._confirm_ownership()
         if (
             not node.lease.holds()
             or node.lease.outage()
-            or self.handover.unsure
+            or self.handover.write_uncertain
         ):
             return
         owners = node.live.shards.get(self.domain)
         if node.draining:
-            await self.handover.return_given(owners)
+            await self.handover.forward_received(owners)
             return
         self._learn_addresses(owners)
         await self._load_owned(owners)
-        self._note_suspects(owners)
-        await self._claim(owners)
-        self.handover.balance(owners)
+        self._update_suspects(owners)
+        await self._claim_free_shards(owners)
+        self.handover.rebalance(owners)
 
-    def _mine(self, owner: ShardOwner) -> bool:
+    def _is_own(self, owner: ShardOwner) -> bool:
         return owner.incarnation == self.node.incarnation
 
-    def _me(self) -> ShardOwner:
+    def _own_record(self) -> ShardOwner:
         settings = self.node.settings
         return ShardOwner(
             settings.name, self.node.incarnation, 0, settings.peer
@@ -115,7 +117,7 @@
 
     def _is_lost(self, shard: Shard, owners: DomainShards) -> bool:
         owner = owners.shards[shard.number]
-        return not self._mine(owner) or owner.epoch != shard.epoch
+        return not self._is_own(owner) or owner.epoch != shard.epoch
 
     def _drop_lost(self) -> None:
         owners = self.node.live.shards.get(self.domain)
@@ -131,7 +133,7 @@
         shard.log.stop()
         _log.warning("Shard {}.{} lost.", *shard.log.name)
 
-    async def _confirm(self) -> None:
+    async def _confirm_ownership(self) -> None:
         """Makes sure of our shards after they could have been taken.
 
         An instance that was paused gets a new lease before it hears that it
@@ -144,7 +146,9 @@
         if not node.lease.valid():
             return
         interruption = node.lease.interruptions
-        stored = await read_owners(node.kv, self.domain, self._count(None))
+        stored = await read_owners(
+            node.kv, self.domain, self._shard_count(None)
+        )
         if isinstance(stored, Unavailable):
             return
         parting = [each.shard for each in node.parting.values()]
@@ -152,16 +156,19 @@
         for shard in held:
             if self._is_lost(shard, stored.owners):
                 self._drop(shard)
-        if any(not shard.log.fenced for shard in held) or self.handover.unsure:
+        if (
+            any(not shard.log.fenced for shard in held)
+            or self.handover.write_uncertain
+        ):
             changed = await write_owners(node.kv, self.domain, stored, {})
             if not isinstance(changed, DomainShards):
                 return
-            self.note(changed)
-        self.handover.unsure = False
+            self.record_owners(changed)
+        self.handover.write_uncertain = False
         if node.lease.confirm(interruption):
             _log.info("Ownership confirmed.")
 
-    def note(self, changed: DomainShards) -> None:
+    def record_owners(self, changed: DomainShards) -> None:
         """Takes owners that were stored into the view, ahead of the watch."""
         known = self.node.live.shards.get(self.domain)
         if known is None or changed.epoch > known.epoch:
@@ -190,8 +197,8 @@
         for number, owner in enumerate(owners.shards if owners else []):
             key = (self.domain, number)
             here = key in self.node.shards or key in self.node.parting
-            paused = time.monotonic() < self.not_before.get(key, 0.0)
-            if self._mine(owner) and not here and not paused:
+            paused = time.monotonic() < self.retry_at.get(key, 0.0)
+            if self._is_own(owner) and not here and not paused:
                 await self._load(number, owner.epoch)
 
     async def _load(self, number: int, epoch: int) -> None:
@@ -202,7 +209,7 @@
             node.kv, self.domain, number, epoch, node.settings.name
         )
         if not isinstance(recovered, Recovered):
-            self._note_unloaded(number, recovered)
+            self._report_unloaded(number, recovered)
             return
         if interruptions != node.lease.interruptions or not node.lease.holds():
             # What was read before a pause may have another owner by now.
@@ -229,7 +236,7 @@
             len(recovered.programs),
         )
 
-    def _note_unloaded(
+    def _report_unloaded(
         self, number: int, why: Unavailable | Fenced | Broken
     ) -> None:
         if not isinstance(why, Broken):
@@ -238,10 +245,10 @@
         # The other shards must not suffer from one log that is wrong.
         _log.error("Shard {}.{} is broken: {}", self.domain, number, why.why)
         self.node.metrics.count("rattanmill_shards_broken")
-        again = time.monotonic() + _BROKEN_PAUSE_SECONDS
-        self.not_before[self.domain, number] = again
+        again = time.monotonic() + _BROKEN_LOG_RETRY_SECONDS
+        self.retry_at[self.domain, number] = again
 
-    def _count(self, owners: DomainShards | None) -> int:
+    def _shard_count(self, owners: DomainShards | None) -> int:
         """Number of shards; fixed when the owners are first written.
 
         Programs' ids and the place of acts without a program depend on it.
@@ -264,9 +271,12 @@
             return False
         if owner.owner in living:
             return True
-        return self._silent_for(owner.owner) > self.node.lease.silence_seconds
+        return (
+            self._unanswered_seconds(owner.owner)
+            > self.node.lease.silence_seconds
+        )
 
-    def _silent_for(self, name: str) -> float:
+    def _unanswered_seconds(self, name: str) -> float:
         """Seconds for which an owner has left heartbeats unanswered.
 
         Counted from when we began to send it some: an owner that is cut off
@@ -278,7 +288,7 @@
         asked = self.node.suspects.get(name, now)
         return now - max(heard, asked, self.node.lease.resumed_at)
 
-    def _note_suspects(self, owners: DomainShards | None) -> None:
+    def _update_suspects(self, owners: DomainShards | None) -> None:
         living = living_instances(self.node)
         lapsed = {
             owner.owner
@@ -290,12 +300,12 @@
             name: self.node.suspects.get(name, now) for name in lapsed
         }
 
-    async def _claim(self, owners: DomainShards | None) -> None:
-        count = self._count(owners)
-        known = owners.shards if owners else [NOBODY] * count
+    async def _claim_free_shards(self, owners: DomainShards | None) -> None:
+        count = self._shard_count(owners)
+        known = owners.shards if owners else [NO_OWNER] * count
         living = living_instances(self.node)
         free = [n for n, o in enumerate(known) if self._is_free(o, living)]
-        held = sum(1 for owner in known if self._mine(owner))
+        held = sum(1 for owner in known if self._is_own(owner))
         wanted = free[: max(0, share(self.node, count) - held)]
         if not wanted:
             return
@@ -305,18 +315,18 @@
             return
         if stored.owners.epoch != (owners.epoch if owners else 0):
             return
-        targets = dict.fromkeys(wanted, self._me())
+        targets = dict.fromkeys(wanted, self._own_record())
         changed = await write_owners(node.kv, self.domain, stored, targets)
         if isinstance(changed, DomainShards):
-            self.note(changed)
+            self.record_owners(changed)
             node.metrics.count("rattanmill_owner_changes", len(targets))
         elif isinstance(changed, Conflict):
-            await asyncio.sleep(random.uniform(0, _ROUND_SECONDS))
+            await asyncio.sleep(random.uniform(0, _RECONCILE_INTERVAL_SECONDS))
 
-    async def _tidy_for_ever(self) -> None:
+    async def _run_maintenance(self) -> None:
         """Forgets what ended long ago and keeps the logs short."""
         while True:
-            await asyncio.sleep(_TIDY_SECONDS)
+            await asyncio.sleep(_MAINTENANCE_INTERVAL_SECONDS)
             for shard in list(self.node.shards.values()):
                 drop_ended(shard)
                 if is_due(shard) and self.node.lease.valid():
--- a/libs/entry/src/rattanmill_entry/quarantine.py
+++ b/libs/entry/src/rattanmill_entry/quarantine.py
@@ -10,7 +10,7 @@
 
 from rattanmill_core import CrashNote, Ran, Reason, Refusal, part_logger, refuse
 from rattanmill_entry.chatbody import ChatBody
-from rattanmill_entry.engines import EndpointWatch, Probe
+from rattanmill_entry.engines import EndpointMonitor, ProbeResult
 from rattanmill_entry.node import Node
 from rattanmill_entry.signs import Signs
 from rattanmill_entry.upstream import Failed
@@ -46,7 +46,9 @@
         watch: Confirms crashes.
     """
 
-    def __init__(self, node: Node, signs: Signs, watch: EndpointWatch) -> None:
+    def __init__(
+        self, node: Node, signs: Signs, watch: EndpointMonitor
+    ) -> None:
         self.node = node
         self.signs = signs
         self.watch = watch
@@ -111,7 +113,7 @@
             return None
         name = state.endpoint.name
         at = int(time.time() * 1000)
-        await self.watch.look_beside(state, _LOOKED_AT)
+        await self.watch.probe_siblings(state, _LOOKED_AT)
         await asyncio.sleep(_OTHERS_SECONDS)
         if self._is_outage(state) and self._excuse(prints[0]):
             self.node.metrics.count("rattanmill_quarantine", event="outage")
@@ -134,7 +136,7 @@
         """
         for pause in _GONE_PAUSES_SECONDS:
             await asyncio.sleep(pause)
-            if await self.watch.confirm(state) is Probe.REFUSED:
+            if await self.watch.probe(state) is ProbeResult.REFUSED:
                 return True
         return False
 
--- a/libs/entry/src/rattanmill_entry/route.py
+++ b/libs/entry/src/rattanmill_entry/route.py
@@ -18,9 +18,9 @@
 from rattanmill_programs import LOOSE_TOKEN
 from rattanmill_wire import CallKind, CallStart, ReplyHead, ReplyRefused
 
-_PATIENCE_LEASES = 3
-_PAUSE_SECONDS = 0.1
-WORTH_WAITING = (
+_MAX_OWNER_WAIT_LEASES = 3
+_RETRY_PAUSE_SECONDS = 0.1
+RETRYABLE_REASONS = (
     Reason.NOT_OWNER,
     Reason.OWNER_UNREACHABLE,
     Reason.OWNERSHIP_LOST,
@@ -34,14 +34,14 @@
             yield reply
         return
     loop = asyncio.get_running_loop()
-    until = loop.time() + start.seconds_left
-    patience = _PATIENCE_LEASES * node.settings.lease_seconds
-    deadline = loop.time() + min(patience, start.seconds_left)
+    call_deadline = loop.time() + start.seconds_left
+    max_wait = _MAX_OWNER_WAIT_LEASES * node.settings.lease_seconds
+    retry_deadline = loop.time() + min(max_wait, start.seconds_left)
     ran = Ran.NO
     while True:
         refusal = None
-        async for reply in _once(node, start):
-            if isinstance(reply, ReplyRefused) and _is_worth_waiting(
+        async for reply in _try_once(node, start):
+            if isinstance(reply, ReplyRefused) and _is_retryable(
                 start, reply.refusal
             ):
                 refusal = reply.refusal
@@ -50,26 +50,26 @@
                 reply = refused(start, reply.refusal.after(ran))
             yield reply
             if isinstance(reply, ReplyHead):
-                deadline = 0.0
+                retry_deadline = 0.0
         if refusal is None:
             return
         if refusal.ran is not Ran.NO:
             ran = refusal.ran
-        if loop.time() >= deadline:
+        if loop.time() >= retry_deadline:
             yield refused(start, refusal.after(ran))
             return
-        start.seconds_left = max(0.0, until - loop.time())
+        start.seconds_left = max(0.0, call_deadline - loop.time())
         node.metrics.retried(refusal.reason)
-        await asyncio.sleep(random.uniform(0.5, 1) * _PAUSE_SECONDS)
+        await asyncio.sleep(random.uniform(0.5, 1) * _RETRY_PAUSE_SECONDS)
 
 
-def _is_worth_waiting(start: CallStart, refusal: Refusal) -> bool:
-    if refusal.reason not in WORTH_WAITING:
+def _is_retryable(start: CallStart, refusal: Refusal) -> bool:
+    if refusal.reason not in RETRYABLE_REASONS:
         return False
     return start.kind is not CallKind.CREATE or refusal.ran is Ran.NO
 
 
-async def _once(node: Node, start: CallStart) -> Replies:
+async def _try_once(node: Node, start: CallStart) -> Replies:
     """Makes one try at the owner that is known now."""
     owned = parse_program_id(start.program)
     owner = owner_of(node, owned.domain, owned.shard) if owned else None
@@ -103,11 +103,11 @@
 
 def peer_address(node: Node, record: InstanceRecord) -> str:
     """Returns the address at which this instance reaches another."""
-    inside = record.domain == node.settings.domain
-    return record.peer if inside else record.outside
+    same_domain = record.domain == node.settings.domain
+    return record.peer if same_domain else record.outside
 
 
-def home_shard(node: Node) -> str:
+def new_program_shard(node: Node) -> str:
     """Returns a shard for a new program, best one owned by this instance.
 
     Else one whose owner lives and stays: a shard that is handed over may have
@@ -116,12 +116,12 @@
     domain = node.settings.domain
     own = [shard for name, shard in node.shards if name == domain]
     chosen = random.choice(
-        own or _kept_shards(node) or range(shard_count(node, domain))
+        own or _stable_shards(node) or range(shard_count(node, domain))
     )
     return f"{domain}.{chosen}.{LOOSE_TOKEN}"
 
 
-def _kept_shards(node: Node) -> list[int]:
+def _stable_shards(node: Node) -> list[int]:
     """Shards of our domain whose owners are others that stay."""
     owners = node.live.shards.get(node.settings.domain)
     others = staying(node)
--- a/libs/entry/src/rattanmill_entry/serve.py
+++ b/libs/entry/src/rattanmill_entry/serve.py
@@ -12,7 +12,7 @@
 from rattanmill_entry import lifecycle
 from rattanmill_entry.acts import run_act
 from rattanmill_entry.answers import (
-    Answer,
+    AnswerBuilder,
     chunk_event,
     completion_body,
     end_events,
@@ -147,7 +147,7 @@
     run = ChatRun(
         chat, chat.messages, chat.max_tokens, work, stream=start.stream
     )
-    answer = Answer()
+    answer = AnswerBuilder()
     sent = 0
     async for part in run_chat(node, run):
         match part:
@@ -161,7 +161,7 @@
                 yield ReplyChunk(start.call, sent, event)
                 sent += 1
             case Restarted():
-                answer = Answer()
+                answer = AnswerBuilder()
             case Finished() if start.stream:
                 if not sent:
                     yield ReplyHead(start.call, 200, STREAM_HEADERS)
--- a/libs/entry/src/rattanmill_entry/services.py
+++ b/libs/entry/src/rattanmill_entry/services.py
@@ -6,7 +6,7 @@
 from rattanmill_entry.node import Node
 from rattanmill_entry.quarantine import service_prints
 from rattanmill_entry.replies import Replies, Reply, refused, whole_reply
-from rattanmill_entry.upstream import Failed, ServiceAnswer, call_service
+from rattanmill_entry.upstream import Failed, ServiceResponse, call_service
 from rattanmill_policy import Outcome, Work
 from rattanmill_wire import CallStart
 
@@ -32,7 +32,7 @@
         quarantined = await node.guard.after_attempt(
             prints, result, work.tried[-1]
         )
-        if isinstance(result, ServiceAnswer):
+        if isinstance(result, ServiceResponse):
             for reply in answered(start, result):
                 yield reply
             return
@@ -50,7 +50,7 @@
 
 async def _attempt(
     node: Node, start: CallStart, work: Work
-) -> ServiceAnswer | Failed | Refusal:
+) -> ServiceResponse | Failed | Refusal:
     placed = await node.scheduler.place(work)
     if isinstance(placed, Refusal):
         return placed
@@ -79,7 +79,7 @@
     )
 
 
-def answered(start: CallStart, answer: ServiceAnswer) -> list[Reply]:
+def answered(start: CallStart, answer: ServiceResponse) -> list[Reply]:
     """Returns the replies that pass a service's answer on."""
     return whole_reply(start, answer.status, answer.headers, answer.body)
 
--- a/libs/entry/src/rattanmill_entry/turns.py
+++ b/libs/entry/src/rattanmill_entry/turns.py
@@ -7,13 +7,17 @@
 
 from rattanmill_core import Ran, Reason, Refusal, refuse
 from rattanmill_entry.answers import (
-    Answer,
+    AnswerBuilder,
     chunk_event,
     completion_body,
     end_events,
 )
 from rattanmill_entry.attempts import ChatRun, Restarted, run_chat
-from rattanmill_entry.budget import limits, lose, reserve
+from rattanmill_entry.budget import (
+    charge_lost_attempt,
+    check_limits,
+    reserve_tokens,
+)
 from rattanmill_entry.chatbody import (
     ChatBody,
     common_messages,
@@ -46,7 +50,7 @@
 from rattanmill_programs.program import next_chain
 from rattanmill_wire import CallStart, ReplyHead
 
-_QUEUED_TURNS = 16
+_MAX_QUEUED_TURNS = 16
 _TURN_HEADER = "Rattanmill-Turn"
 
 
@@ -59,7 +63,7 @@
     answer when it asks for the same turn again.
     """
     outbox = Outbox(start)
-    node.spawn(_run_to_end(node, shard, program, start, outbox))
+    node.spawn(_run_to_completion(node, shard, program, start, outbox))
     try:
         async with contextlib.aclosing(outbox.replies()) as replies:
             async for reply in replies:
@@ -68,7 +72,7 @@
         outbox.abandon()
 
 
-async def _run_to_end(
+async def _run_to_completion(
     node: Node,
     shard: Shard,
     program: Program,
@@ -95,7 +99,7 @@
     if isinstance(chat, str):
         outbox.put(refused(start, refuse(Reason.BAD_REQUEST, chat)))
         return
-    if program.waiting > _QUEUED_TURNS:
+    if program.waiting > _MAX_QUEUED_TURNS:
         detail = "Too many calls of this program are waiting."
         outbox.put(refused(start, refuse(Reason.OVERLOADED, detail)))
         return
@@ -118,11 +122,11 @@
         detail = "Too many turns wait for the store, which is away."
         outbox.put(refused(start, refuse(Reason.STORE_UNAVAILABLE, detail)))
         return
-    refusal = await _file_receipts(node, shard, program, chat)
+    refusal = await _apply_receipts(node, shard, program, chat)
     if refusal:
         outbox.put(refused(start, refusal))
         return
-    plan = _plan(program, start, chat)
+    plan = _plan_turn(program, start, chat)
     if isinstance(plan, Refusal):
         outbox.put(refused(start, plan))
         return
@@ -130,8 +134,8 @@
         outbox.put(*_stored_replies(program, start, plan.number))
         return
     try:
-        refusal = limits(node, program, plan)
-        refusal = refusal or await reserve(shard, program, plan)
+        refusal = check_limits(node, program, plan)
+        refusal = refusal or await reserve_tokens(shard, program, plan)
         if refusal:
             outbox.put(refused(start, refusal))
             return
@@ -140,7 +144,7 @@
         program.held = 0
 
 
-async def _file_receipts(
+async def _apply_receipts(
     node: Node, shard: Shard, program: Program, chat: ChatBody
 ) -> Refusal | None:
     """Keeps turns that the caller held receipts for and we do not know."""
@@ -149,13 +153,13 @@
         if turn is None or turn.program != program.made.program:
             detail = "A receipt is not one of this program's."
             return refuse(Reason.RECEIPT_INVALID, detail)
-        known = len(program.turns)
-        if turn.turn <= known:
+        turn_count = len(program.turns)
+        if turn.turn <= turn_count:
             if program.turns[turn.turn - 1].record.chain != turn.chain:
                 detail = f"Turn {turn.turn} was kept with another answer."
                 return refuse(Reason.TURN_CONFLICT, detail)
             continue
-        if turn.turn > known + 1 or next_chain(program.chain, turn) != (
+        if turn.turn > turn_count + 1 or next_chain(program.chain, turn) != (
             turn.chain
         ):
             detail = "The receipts do not continue the program's history."
@@ -166,19 +170,23 @@
     return None
 
 
-def _plan(program: Program, start: CallStart, chat: ChatBody) -> Plan | Refusal:
+def _plan_turn(
+    program: Program, start: CallStart, chat: ChatBody
+) -> Plan | Refusal:
     """Returns what to run, or which stored turn to repeat."""
     if program.ended is not None:
         return refuse(Reason.PROGRAM_ENDED, "The program has ended.")
-    known = len(program.turns)
-    number = start.turn or known + 1
-    if number > known + 1:
-        detail = f"Turn {known + 1} comes next, not {number}."
-        return refuse(Reason.TURN_GAP, detail, expected_turn=known + 1)
-    if number <= known:
+    turn_count = len(program.turns)
+    number = start.turn or turn_count + 1
+    if number > turn_count + 1:
+        detail = f"Turn {turn_count + 1} comes next, not {number}."
+        return refuse(Reason.TURN_GAP, detail, expected_turn=turn_count + 1)
+    if number <= turn_count:
         if program.turns[number - 1].record.digest != chat.digest:
             detail = f"Turn {number} was kept with another request."
-            return refuse(Reason.TURN_CONFLICT, detail, expected_turn=known + 1)
+            return refuse(
+                Reason.TURN_CONFLICT, detail, expected_turn=turn_count + 1
+            )
         return Plan(number, chat, [], 0, 0)
     if start.append:
         base = len(program.transcript)
@@ -197,7 +205,7 @@
     plan: Plan,
     outbox: Outbox,
 ) -> None:
-    answer = Answer()
+    answer = AnswerBuilder()
     run = _chat_run(shard, program, start, plan)
     async for part in run_chat(node, run):
         match part:
@@ -207,12 +215,12 @@
                     outbox.begin(_stream_head(start, plan.number))
                     outbox.part(plan.chat.model, part.fields)
             case Restarted():
-                answer = Answer()
+                answer = AnswerBuilder()
             case Refusal():
                 outbox.put(refused(start, part))
                 return
             case Finished():
-                await _finish(
+                await _commit_turn(
                     node, shard, program, start, plan, outbox, answer, part
                 )
 
@@ -243,18 +251,18 @@
         work,
         fence,
         start.stream,
-        lambda: lose(shard, program, plan),
+        lambda: charge_lost_attempt(shard, program, plan),
     )
 
 
-async def _finish(
+async def _commit_turn(
     node: Node,
     shard: Shard,
     program: Program,
     start: CallStart,
     plan: Plan,
     outbox: Outbox,
-    answer: Answer,
+    answer: AnswerBuilder,
     end: Finished,
 ) -> None:
     """Keeps the turn, and only then lets the caller see its end."""
@@ -293,7 +301,7 @@
         base=plan.base,
         messages=plan.messages[plan.base :],
         answer=message,
-        finish=end.finish,
+        finish=end.finish_reason,
         model=plan.chat.model,
         prompt_tokens=usage.prompt_tokens,
         completion_tokens=usage.completion_tokens,
--- a/libs/entry/src/rattanmill_entry/upstream.py
+++ b/libs/entry/src/rattanmill_entry/upstream.py
@@ -10,11 +10,11 @@
 
 from rattanmill_policy import Outcome
 
-_CONNECT_SECONDS = 2.0
-_SILENCE_SECONDS = 60.0
-_LEAST_SECONDS = 0.001
-_EVENT_BYTES = 1024 * 1024
-_DETAIL_BYTES = 4096
+_CONNECT_TIMEOUT_SECONDS = 2.0
+_READ_TIMEOUT_SECONDS = 60.0
+_MIN_TIMEOUT_SECONDS = 0.001
+_MAX_EVENT_BYTES = 1024 * 1024
+_MAX_DETAIL_BYTES = 4096
 
 
 class Usage(msgspec.Struct):
@@ -40,7 +40,7 @@
 class Finished(msgspec.Struct):
     """The whole answer has arrived."""
 
-    finish: str
+    finish_reason: str
     usage: Usage
 
 
@@ -58,7 +58,7 @@
     detail: str
 
 
-class ServiceAnswer(msgspec.Struct):
+class ServiceResponse(msgspec.Struct):
     """Answer of a plain service."""
 
     status: int
@@ -86,7 +86,7 @@
     usage: _WireUsage | None = None
 
 
-_EVENT = msgspec.json.Decoder(_Event)
+_EVENT_DECODER = msgspec.json.Decoder(_Event)
 _HOP_HEADERS = frozenset(
     (
         "connection",
@@ -101,7 +101,7 @@
         "upgrade",
     )
 )
-_ANSWER_BYTES = 64 * 1024 * 1024
+_MAX_ANSWER_BYTES = 64 * 1024 * 1024
 
 
 def stream_chat(
@@ -109,7 +109,7 @@
     url: str,
     body: bytes,
     headers: dict[str, str],
-    silence_seconds: float = _SILENCE_SECONDS,
+    read_timeout_seconds: float = _READ_TIMEOUT_SECONDS,
 ) -> AsyncIterator[Delta | Finished | Failed]:
     """Runs a chat call; the last thing yielded is Finished or Failed.
 
@@ -123,9 +123,9 @@
             f"{url}/v1/chat/completions",
             data=body,
             headers=headers,
-            timeout=_stream_timeout(silence_seconds),
+            timeout=_stream_timeout(read_timeout_seconds),
             allow_redirects=False,
-            middlewares=(_send_once(),),
+            middlewares=(_no_resend_middleware(),),
         )
     )
 
@@ -134,21 +134,23 @@
     session: aiohttp.ClientSession,
     url: str,
     request_id: str,
-    silence_seconds: float = _SILENCE_SECONDS,
+    read_timeout_seconds: float = _READ_TIMEOUT_SECONDS,
 ) -> AsyncIterator[Delta | Finished | Failed]:
     """Reads the stream of a call again, from its first token."""
     return _stream(
         session.get(
             f"{url}/v1/streams/{request_id}?from=0",
-            timeout=_stream_timeout(silence_seconds),
+            timeout=_stream_timeout(read_timeout_seconds),
             allow_redirects=False,
         )
     )
 
 
-def _stream_timeout(silence_seconds: float) -> aiohttp.ClientTimeout:
+def _stream_timeout(read_timeout_seconds: float) -> aiohttp.ClientTimeout:
     return aiohttp.ClientTimeout(
-        total=None, sock_connect=_CONNECT_SECONDS, sock_read=silence_seconds
+        total=None,
+        sock_connect=_CONNECT_TIMEOUT_SECONDS,
+        sock_read=read_timeout_seconds,
     )
 
 
@@ -158,7 +160,7 @@
     try:
         async with call as answer:
             if answer.status != 200:
-                yield await _rejected(answer)
+                yield await _failed_response(answer)
                 return
             async for part in _parts(answer.content):
                 yield part
@@ -182,7 +184,7 @@
             else:
                 yield Failed(Outcome.BROKEN, 0, "no end of answer")
             return
-        event = _EVENT.decode(data)
+        event = _EVENT_DECODER.decode(data)
         if event.usage:
             usage = _usage(event.usage)
         if event.choices:
@@ -193,13 +195,15 @@
     yield Failed(Outcome.BROKEN, 0, "stream cut")
 
 
-async def _rejected(answer: aiohttp.ClientResponse) -> Failed:
+async def _failed_response(answer: aiohttp.ClientResponse) -> Failed:
     """Returns how an answer that is no stream counts.
 
     Only ``draining`` says that nothing ran; an engine that fails for another
     reason may have begun.
     """
-    detail = (await answer.content.read(_DETAIL_BYTES)).decode(errors="replace")
+    detail = (await answer.content.read(_MAX_DETAIL_BYTES)).decode(
+        errors="replace"
+    )
     if answer.status == 503 and '"draining"' in detail:
         outcome = Outcome.DRAINING
     elif answer.status >= 500:
@@ -215,7 +219,7 @@
     async for part in content.iter_any():
         rest += part
         *events, rest = rest.split(b"\n\n")
-        if len(rest) > _EVENT_BYTES:
+        if len(rest) > _MAX_EVENT_BYTES:
             raise aiohttp.ClientPayloadError("event too long")
         for event in events:
             for line in event.split(b"\n"):
@@ -236,10 +240,10 @@
     url: str,
     headers: list[tuple[str, str]],
     body: bytes,
-    seconds: float,
-    once: bool = False,
+    timeout_seconds: float,
+    no_resend: bool = False,
     may_send: Callable[[], bool] | None = None,
-) -> ServiceAnswer | Failed:
+) -> ServiceResponse | Failed:
     """Runs one call of a plain service.
 
     Args:
@@ -248,15 +252,15 @@
         url: Where to.
         headers: Headers of the request.
         body: Body of the request.
-        seconds: Longest time it may take.
-        once: Whether it must not be sent a second time by the library.
+        timeout_seconds: Limit of the whole call.
+        no_resend: Stops aiohttp from sending the request a second time.
         may_send: Asked once more when there is a connection; needs a session
             with ``withholding_trace``.
     """
     timeout = aiohttp.ClientTimeout(
         # To the library, 0 is no limit.
-        total=max(seconds, _LEAST_SECONDS),
-        sock_connect=_CONNECT_SECONDS,
+        total=max(timeout_seconds, _MIN_TIMEOUT_SECONDS),
+        sock_connect=_CONNECT_TIMEOUT_SECONDS,
     )
     try:
         async with session.request(
@@ -269,7 +273,7 @@
             # the library would send a request again that has run already.
             allow_redirects=False,
             skip_auto_headers=("Accept-Encoding", "Content-Type"),
-            middlewares=(_send_once(),) if once else (),
+            middlewares=(_no_resend_middleware(),) if no_resend else (),
             trace_request_ctx=may_send,
         ) as answer:
             data = await _read_bounded(answer)
@@ -278,7 +282,7 @@
                 for name, value in answer.headers.items()
                 if name.lower() not in _HOP_HEADERS
             ]
-            return ServiceAnswer(answer.status, kept, data)
+            return ServiceResponse(answer.status, kept, data)
     except (
         aiohttp.ClientConnectorError,
         aiohttp.ConnectionTimeoutError,
@@ -295,7 +299,7 @@
     """A connection was made, and the request must not be sent any more."""
 
 
-def withholding_trace() -> aiohttp.TraceConfig:
+def send_guard_trace() -> aiohttp.TraceConfig:
     """Returns a trace that asks ``may_send`` between connecting and sending.
 
     Connecting takes time, and a stopped process does not notice it: the
@@ -317,7 +321,7 @@
     return trace
 
 
-def _send_once() -> aiohttp.ClientMiddlewareType:
+def _no_resend_middleware() -> aiohttp.ClientMiddlewareType:
     """Returns a middleware that stops the library's own second attempt.
 
     On a connection that breaks before the answer, the library sends PUT,
@@ -343,7 +347,7 @@
     size = 0
     async for part in answer.content.iter_any():
         size += len(part)
-        if size > _ANSWER_BYTES:
+        if size > _MAX_ANSWER_BYTES:
             raise aiohttp.ClientPayloadError("answer too long")
         parts.append(part)
     return b"".join(parts)
@@ -353,7 +357,7 @@
     session: aiohttp.ClientSession, url: str, request_id: str
 ) -> None:
     """Tells an engine to stop a call nobody waits for."""
-    timeout = aiohttp.ClientTimeout(total=_CONNECT_SECONDS)
+    timeout = aiohttp.ClientTimeout(total=_CONNECT_TIMEOUT_SECONDS)
     with contextlib.suppress(
         aiohttp.ClientError, OSError, asyncio.TimeoutError
     ):
--- a/tests/features/steps/acts.py
+++ b/tests/features/steps/acts.py
@@ -6,7 +6,7 @@
 from behave import given, then, when
 
 from support import Client, Layout, ServiceSpec, start, wait_until
-from support.deaf import deaf
+from support.deaf import unresponsive_listener
 from support.stack import random_text
 
 _LAYOUT = Layout(
@@ -160,11 +160,13 @@
 
 @given("no office takes connections")
 def step_deaf(context):
-    context.deaf = context.scenario_stack.enter_context(contextlib.ExitStack())
+    context.listeners = context.scenario_stack.enter_context(
+        contextlib.ExitStack()
+    )
     for office in _OFFICES:
         step_gone(context, office)
         address = context.system.standins[office].address
-        context.deaf.enter_context(deaf(address))
+        context.listeners.enter_context(unresponsive_listener(address))
 
 
 @when("the owner of the program is connecting to an office")
@@ -179,7 +181,7 @@
 
 @when("the offices take connections again")
 def step_hearing(context):
-    context.deaf.close()
+    context.listeners.close()
     step_offices_back(context)
 
 
--- a/tests/features/steps/answers.py
+++ b/tests/features/steps/answers.py
@@ -11,7 +11,7 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 
-from rattanmill_entry.answers import Answer as Collected
+from rattanmill_entry.answers import AnswerBuilder
 from rattanmill_entry.outbox import Outbox
 from rattanmill_entry.overlap import Mismatch, Overlap
 from rattanmill_entry.upstream import Delta
@@ -354,7 +354,7 @@
 
 
 def collected(parts):
-    answer = Collected()
+    answer = AnswerBuilder()
     for fields in parts:
         answer.add(Delta(fields, b""))
     return answer.message()
@@ -399,14 +399,14 @@
     )
     def check(first, second, one, other, seen):
         overlap = Overlap()
-        overlap.restart()
+        overlap.start_run()
         for part in cut(first[:seen], one):
-            overlap.take({"content": part})
-        overlap.restart()
+            overlap.take_undelivered({"content": part})
+        overlap.start_run()
         got = first[:seen]
         differs = False
         for part in cut(second, other):
-            rest = overlap.take({"content": part})
+            rest = overlap.take_undelivered({"content": part})
             if isinstance(rest, Mismatch):
                 differs = True
                 break
--- a/tests/features/steps/budget.py
+++ b/tests/features/steps/budget.py
@@ -8,7 +8,7 @@
 from behave import given, then, when
 
 from support import EngineSpec, Layout, start, wait_until
-from support.deaf import deaf
+from support.deaf import unresponsive_listener
 
 _LAYOUT = Layout(
     domains=("alba-west",),
@@ -196,7 +196,9 @@
         system.restart_engine("engine-1")
         system.wait_open()
     end_engine(context)
-    deafness.enter_context(deaf(system.standins["engine-1"].address))
+    deafness.enter_context(
+        unresponsive_listener(system.standins["engine-1"].address)
+    )
     client = system.owner_of(context.program).client
     context.late = context.pool.submit(turn, client, context.program, "x", 1000)
     wait_until(
--- a/tests/features/steps/metrics.py
+++ b/tests/features/steps/metrics.py
@@ -7,8 +7,8 @@
 from behave import then, when
 
 from rattanmill_core import Metrics, Reason, refuse
-from rattanmill_entry.engines import Probe
-from rattanmill_entry.route import WORTH_WAITING
+from rattanmill_entry.engines import ProbeResult
+from rattanmill_entry.route import RETRYABLE_REASONS
 from rattanmill_policy import Outcome
 from rattanmill_wire import CallKind
 from support import wait_until
@@ -127,7 +127,7 @@
     context.metrics = Metrics()
     for reason in Reason:
         context.metrics.refused(refuse(reason, "for a test"))
-    for reason in (*Outcome, *WORTH_WAITING):
+    for reason in (*Outcome, *RETRYABLE_REASONS):
         context.metrics.retried(reason)
 
 
@@ -136,7 +136,7 @@
     lines = context.metrics.exposition().decode().splitlines()
     for name, reasons in (
         ("refusals", Reason),
-        ("retries", (*Outcome, *WORTH_WAITING)),
+        ("retries", (*Outcome, *RETRYABLE_REASONS)),
     ):
         for reason in reasons:
             found = [
@@ -219,11 +219,11 @@
 def step_values(context):
     values = context.values
     assert values["rattanmill_refusals.reason"] == set(Reason)
-    retries = {*Outcome, *WORTH_WAITING} - {Outcome.ANSWERED}
+    retries = {*Outcome, *RETRYABLE_REASONS} - {Outcome.ANSWERED}
     assert values["rattanmill_retries.reason"] == retries
     assert values["rattanmill_requests.kind"] == set(CallKind)
     assert values["rattanmill_request_seconds.kind"] == set(CallKind)
-    assert values["rattanmill_probes.found"] == set(Probe)
+    assert values["rattanmill_probes.found"] == set(ProbeResult)
     for name, labels in context.labels.items():
         for label, used in labels.items():
             listed = values.get(f"{name}.{label}", set())
--- a/tests/support/deaf.py
+++ b/tests/support/deaf.py
@@ -9,7 +9,7 @@
 
 
 @contextlib.contextmanager
-def deaf(address: str) -> Iterator[None]:
+def unresponsive_listener(address: str) -> Iterator[None]:
     """Lets whoever connects to an address wait.
 
     Args:
