--- a/libs/entry/src/rattanmill_entry/acts.py
+++ b/libs/entry/src/rattanmill_entry/acts.py
@@ -1,9 +1,9 @@
-"""Non-idempotent calls to plain services, which run at most once.
+"""Non-idempotent calls ("acts") to plain services, which run at most once.
 
-A non-idempotent call has an idempotency key. That it is intended is committed
-before its first byte goes out, its outcome afterwards. A repeat gets the
-stored outcome. If the outcome is missing, the call may have run, and the
-answer is ``act_unknown`` for ever: it is never sent a second time. See
+Each act has an idempotency key. Its intent is committed before the first byte
+is sent, and its outcome afterwards. A repeated request gets the stored
+outcome. If there is no outcome, the act may have run; every repeat is then
+refused with ``act_unknown`` and the act is never sent a second time. See
 docs/design/acts.md.
 """
 
@@ -46,25 +46,26 @@
 from rattanmill_wire import CallStart
 
 _REPEATED_HEADER = ("Rattanmill-Repeated", "true")
-# A segment of the log holds 1 MB; a larger answer would never be committed
-# and would hold up everything behind it.
+# A log segment holds 1 MB. A larger response would never be committed and
+# would block all later records.
 _MAX_STORED_BODY_BYTES = 256 * 1024
 _FENCED_STATUS = 412
 _DEADLINE_GRACE_SECONDS = 0.1
 
 
 class _ActRun:
-    """The one try of an act that this process makes.
+    """The only run of an act by this process.
 
     Attributes:
-        node: This instance.
+        node: The daemon's context.
         shard: Shard of the program.
-        program: Program, or the holder of acts without one.
+        program: The program, or the shard's holder of acts without a program.
         start: The caller's request.
         act: The act.
-        until: Loop time of the caller's deadline.
-        sent: Whether the request may have reached an endpoint.
-        dropped: Whether the caller was told that it was not sent.
+        deadline: Loop time of the caller's deadline.
+        may_have_been_sent: Whether the request may have reached an endpoint.
+        reported_unsent: Whether the caller got a refusal that says that the
+            request was not sent.
     """
 
     def __init__(
@@ -93,7 +94,7 @@
 async def run_act(
     node: Node, shard: Shard, program: Program, start: CallStart
 ) -> Replies:
-    """Runs a non-idempotent call, or tells how it ended before."""
+    """Runs a non-idempotent call, or returns the outcome of its first run."""
     name = _act_name(start)
     digest = _digest(start)
     act = program.acts.get(name)
@@ -111,10 +112,10 @@
 
 
 def _act_name(start: CallStart) -> str:
-    """Returns what tells an act from the others of its holder.
+    """Returns the key of an act that is unique within its holder.
 
-    Acts without a program share a holder with those of other workspaces; by
-    the key alone, one caller would be given the answer to another's.
+    Acts without a program share a holder with those of other workspaces. With
+    the idempotency key alone, one caller could get another caller's response.
     """
     if start.program.endswith(f".{LOOSE_TOKEN}"):
         return f"{start.workspace}/{start.key}"
@@ -129,14 +130,14 @@
 async def _answer_repeat(
     program: Program, start: CallStart, act: Act
 ) -> list[Reply]:
-    """Answers a repeat, waiting for a try that is under way."""
+    """Answers a repeated request, after a run that is in progress."""
     if act.running is not None:
         await asyncio.wait([act.running], timeout=start.seconds_left)
     if act.settled is None and act.running is not None:
-        detail = "The first try is under way. Ask again with the same key."
+        detail = "The first request is running. Repeat it with the same key."
         return [refused(start, refuse(Reason.DEADLINE, detail))]
     if act.settled is None and program.acts.get(act.key) is not act:
-        detail = "The first try was not sent. Send the request again."
+        detail = "The first request was not sent. Send the request again."
         refusal = refuse(Reason.ENDPOINT_FAILED, detail, ran=Ran.NO)
         return [refused(start, refusal)]
     return _stored_replies(start, act)
@@ -152,7 +153,7 @@
     program.acts[act.key] = act
     act.running = asyncio.get_running_loop().create_future()
     run = _ActRun(node, shard, program, start, act)
-    # The caller may leave; the outcome must be kept all the same.
+    # The outcome must be stored even if the caller disconnects.
     task = node.spawn(_run_to_completion(run))
     await asyncio.wait(
         [task], timeout=run.seconds_left + _DEADLINE_GRACE_SECONDS
@@ -173,7 +174,7 @@
 
 
 def _answer_at_deadline(run: _ActRun) -> list[Reply]:
-    """Answers at the deadline; the try itself goes on to be settled."""
+    """Answers at the deadline; the run continues until it is settled."""
     if run.act.settled is not None:
         return _stored_replies(run.start, run.act)
     if run.may_have_been_sent:
@@ -216,7 +217,7 @@
             return await _settle(run, result)
         if result.outcome not in NEVER_SENT:
             replies = await _settle(run, None)
-            # Before the caller can ask again under another key.
+            # Before the caller can send the request again with another key.
             await node.guard.after_attempt(fingerprints, result, work.tried[-1])
             return replies
         run.may_have_been_sent = False
@@ -235,8 +236,8 @@
         return placed
     work.tried.append(placed.state.endpoint.name)
     with placed:
-        # Finding a place may have taken long: the lease can have lapsed and
-        # the caller can have been told that nothing was sent.
+        # Placement may have taken long: the lease may have expired, and the
+        # caller may have been told that nothing was sent.
         refusal = _send_refusal(run)
         if refusal:
             return refusal
@@ -276,12 +277,12 @@
     if isinstance(appended, Fenced):
         detail = "Another instance owns the program now."
         return refuse(Reason.OWNERSHIP_LOST, detail, ran=Ran.NO)
-    detail = "The intent cannot be kept while the store is away."
+    detail = "The intent cannot be stored while the store is unavailable."
     return refuse(Reason.STORE_UNAVAILABLE, detail)
 
 
 def _withdraw(run: _ActRun, refusal: Refusal) -> list[Reply]:
-    """Ends an act that was provably never sent, so that it may be repeated."""
+    """Removes an act that was certainly not sent, so that it can run later."""
     program, act = run.program, run.act
     if program.acts.get(act.key) is act:
         del program.acts[act.key]
@@ -290,17 +291,17 @@
 
 
 async def _settle(run: _ActRun, answer: ServiceResponse | None) -> list[Reply]:
-    """Keeps the outcome; the caller may see it whether or not that worked.
+    """Stores the outcome; the caller gets it even if that fails.
 
-    If it did not, a later repeat is answered with ``act_unknown``, which is
-    the truth for whoever was not there.
+    If it fails, the next owner has only the intent and refuses a repeat with
+    ``act_unknown``, which is all that it knows.
     """
     run.act.settled = _settled_record(run, answer)
     appended = await run.shard.log.append(run.act.settled)
     if answer is None:
         return _stored_replies(run.start, run.act)
     if answer.status == _FENCED_STATUS and isinstance(appended, Fenced):
-        # The service checks fencing numbers, and ours was old.
+        # The service checks fencing tokens, and this instance's was stale.
         return [ownership_lost(run.start, Ran.NO)]
     return answered(run.start, answer)
 
@@ -326,7 +327,7 @@
         )
         return [refused(start, refuse(Reason.ACT_UNKNOWN, detail))]
     if not settled.status:
-        detail = "The request ran; its answer was too long to be kept."
+        detail = "The request ran; its response was too long to be stored."
         return [refused(start, refuse(Reason.ANSWER_NOT_KEPT, detail))]
     headers = [*settled.headers, _REPEATED_HEADER]
     return whole_reply(start, settled.status, headers, settled.body)
--- a/libs/entry/src/rattanmill_entry/answers.py
+++ b/libs/entry/src/rattanmill_entry/answers.py
@@ -1,4 +1,4 @@
-"""Answers to chat calls in both forms: one JSON body, or a stream of events."""
+"""Encodes answers to chat calls: as one JSON body or as a stream of events."""
 
 import time
 
@@ -11,7 +11,7 @@
 
 
 class AnswerBuilder:
-    """Collects an answer's parts into one message."""
+    """Joins the parts of an answer into one message."""
 
     def __init__(self) -> None:
         self.fields: dict = {"role": "assistant", "content": ""}
@@ -31,7 +31,7 @@
                 self.fields[name] = value
 
     def _add_tool_call(self, part: dict) -> None:
-        """Joins a tool call whose arguments arrive in pieces."""
+        """Appends a part of a tool call, whose arguments arrive in pieces."""
         call = self.tool_calls.setdefault(
             part.get("index", 0),
             {"type": "function", "function": {"name": "", "arguments": ""}},
@@ -72,7 +72,7 @@
         model: Model that answered.
         message: JSON of the answer's message.
         end: Finish reason and usage.
-        extra: What rattanmill adds, such as a receipt.
+        extra: Fields that rattanmill adds, such as a receipt.
     """
     choice = {
         "index": 0,
@@ -110,7 +110,7 @@
 
 
 def error_event(problem: bytes) -> bytes:
-    """Returns the event that ends a stream whose answer is not whole."""
+    """Returns the event that ends the stream of an incomplete answer."""
     return b'data: {"error":' + problem + b"}\n\n"
 
 
--- a/libs/entry/src/rattanmill_entry/attempts.py
+++ b/libs/entry/src/rattanmill_entry/attempts.py
@@ -1,8 +1,8 @@
-"""Runs a chat call on endpoints, with another attempt where that is safe.
+"""Runs a chat call on endpoints and retries it where that is safe.
 
 A model call is idempotent: it changes nothing but a cache. It may run again
-as long as nothing that contradicts the new run has gone to the caller. A
-stream that breaks is resumed at its engine first, which costs no tokens.
+as long as the caller has received nothing that contradicts the new run. A
+stream that breaks is first resumed at its engine, which costs no tokens.
 """
 
 import asyncio
@@ -32,9 +32,9 @@
 
 
 class Restarted(msgspec.Struct, frozen=True):
-    """The answer begins anew; what came before is void.
+    """The answer restarts; all earlier parts are invalid.
 
-    Only calls that are not streamed see it.
+    Only sent for calls that are not streamed.
     """
 
 
@@ -46,13 +46,13 @@
 
     Attributes:
         chat: The caller's request.
-        messages: The whole conversation for the engine.
-        max_tokens: Most tokens of the answer.
-        work: For the scheduler.
-        fence: Scope and fencing number, or empty.
-        stream: Whether the caller sees each part as it comes.
-        lost: Called when an attempt may have spent tokens without an answer;
-            returns a refusal if there is no budget for another.
+        messages: JSON of each message of the whole conversation.
+        max_tokens: Maximum tokens of the answer.
+        work: Describes the call to the scheduler.
+        fence: Scope and fencing token, or empty.
+        stream: Whether each part is sent to the caller as it arrives.
+        charge_lost: Called when an attempt may have spent tokens without an
+            answer; returns a refusal if the budget allows no other attempt.
     """
 
     chat: ChatBody
@@ -65,7 +65,15 @@
 
 
 async def run_chat(node: Node, run: ChatRun) -> AsyncIterator[Part]:
-    """Yields the parts of the answer; ends with Finished or a refusal."""
+    """Runs a chat call, with retries on other endpoints.
+
+    Args:
+        node: The daemon's context.
+        run: The call.
+
+    Yields:
+        The parts of the answer; the last one is Finished or a refusal.
+    """
     body = upstream_body(run.chat, run.messages, run.max_tokens)
     fingerprints = chat_prints(run.chat, run.messages)
     node.memory.turn_started(run.work.program)
@@ -92,7 +100,8 @@
                     failed = part
                     continue
                 if isinstance(part, Finished):
-                    # Before the last part: who has it may ask for no more.
+                    # Before the last part: its receiver may not resume this
+                    # generator.
                     node.guard.finished(fingerprints)
                     node.memory.turn_finished(run, placed.state)
                 if isinstance(part, Refusal) and run.charge_lost:
@@ -129,7 +138,7 @@
     body: bytes,
     overlap: Overlap,
 ) -> AsyncIterator[Part | Failed]:
-    """Runs the call on one engine, resuming its stream where it breaks."""
+    """Runs the call on one engine and resumes its stream if it breaks."""
     request_id = new_id()
     loop = asyncio.get_running_loop()
     started_at = loop.time()
@@ -157,7 +166,7 @@
                             return
                 if failed is None:
                     return
-                # A resumption that fails says nothing about the call itself.
+                # A failed resumption does not show how the call itself ended.
                 first_failure = first_failure or failed
                 if (
                     failed.outcome is not Outcome.BROKEN
@@ -172,8 +181,8 @@
         yield first_failure
     finally:
         if not finished and placement.outcome not in _NOT_RUN_OUTCOMES:
-            # Nobody reads on: an engine that goes on would hold a slot and
-            # cache for this answer.
+            # Nobody reads the rest. If the engine continued, it would hold a
+            # slot and cache for this answer.
             node.spawn(cancel_chat(node.session, placement.url, request_id))
 
 
@@ -214,7 +223,7 @@
     """Compares a part of a streamed answer with what has been delivered.
 
     Returns:
-        What is to be passed on; None if all of it was delivered before.
+        The part to deliver; None if all of it has been delivered already.
     """
     if not run.stream or isinstance(part, Failed):
         return part
@@ -227,14 +236,14 @@
 
 
 def _answer_cut_refusal() -> Refusal:
-    detail = "The engine's answer was cut off, and another run differs."
+    detail = "The engine's answer was cut off, and a second run differed."
     return refuse(Reason.ANSWER_CUT, detail)
 
 
 def _record_part(
     placement: Placement, part: Delta | Finished | Failed | Refusal
 ) -> bool:
-    """Records what a part tells; True if the answer is whole."""
+    """Records a part's result in the placement; True if it is the last."""
     match part:
         case Delta():
             if not placement.first_token_seconds:
@@ -253,14 +262,14 @@
 def _final_refusal(
     node: Node, run: ChatRun, failed: Failed, overlap: Overlap
 ) -> Refusal | None:
-    """Returns the refusal to give up with, or None to try again."""
+    """Returns the refusal that ends the call, or None to retry it."""
     if failed.outcome is Outcome.REJECTED:
-        detail = f"The engine refused the call ({failed.status}):"
+        detail = f"The engine rejected the call ({failed.status}):"
         detail = f"{detail} {failed.detail[:500]}"
         return refuse(Reason.BAD_REQUEST, detail, ran=Ran.NO)
     if node.scheduler.may_retry(run.work, failed.outcome):
         return None
     if overlap.delivered:
         return refuse(Reason.ANSWER_CUT, "The engine's answer was cut off.")
-    detail = f"Endpoints failed, the last with: {failed.detail}."
+    detail = f"All attempts failed, the last one with: {failed.detail}."
     return refuse(Reason.ENDPOINT_FAILED, detail, ran=Ran.NO)
--- a/libs/entry/src/rattanmill_entry/budget.py
+++ b/libs/entry/src/rattanmill_entry/budget.py
@@ -1,4 +1,4 @@
-"""Budget of a program's turns: reserved before sending, settled by usage."""
+"""Token budget of a program: reserved before a call, settled by its usage."""
 
 import itertools
 import time
@@ -25,14 +25,18 @@
 
 
 class _MessageContent(msgspec.Struct):
-    """What makes a message the same as another."""
+    """The fields by which two messages are compared."""
 
     role: Any = ""
     content: Any = ""
 
 
 def check_limits(node: Node, program: Program, plan: Plan) -> Refusal | None:
-    """Refuses a turn beyond the program's turns, time or patience."""
+    """Returns a refusal if a turn exceeds the limits of its program.
+
+    Checks the number of turns, the time and the number of identical calls in
+    a row.
+    """
     made = program.made
     if len(program.turns) >= made.turns:
         detail = f"All {made.turns} turns of the budget are used."
@@ -48,10 +52,10 @@
 
 
 def _count_repeats(program: Program, plan: Plan) -> int:
-    """Returns how many turns in a row added what this one adds.
+    """Returns how many of the last turns added the same messages as this one.
 
-    A program that loops asks the same again and again, at growing cost, until
-    its budget is gone.
+    A program in a loop repeats the same request, at growing cost, until its
+    budget is spent.
     """
     added = _message_contents(plan.messages[plan.base :])
     same = itertools.takewhile(
@@ -62,18 +66,27 @@
 
 
 def _message_contents(messages: list[bytes]) -> list[_MessageContent]:
-    """Returns what messages say, without the ids that differ each time."""
+    """Returns role and content of messages, without ids that always differ."""
     return [msgspec.json.decode(m, type=_MessageContent) for m in messages]
 
 
 async def reserve_tokens(
     shard: Shard, program: Program, plan: Plan
 ) -> Refusal | None:
-    """Reserves the most the turn can cost, ahead of sending it.
+    """Reserves the maximum tokens of a turn before it is sent.
+
+    Lowers ``plan.max_tokens`` to what is left of the budget. While the
+    reservation is being committed, a sub-agent may get part of the budget.
+    Tokens held for the turn are excluded from that, and the reservation is
+    checked again after the commit.
+
+    Args:
+        shard: Shard of the program.
+        program: The program.
+        plan: The turn.
 
-    While the reservation is being committed, a sub-agent may be given part of
-    the budget. What the turn holds is kept from it, and the reservation is
-    looked at again.
+    Returns:
+        The refusal if the tokens cannot be reserved, else None.
     """
     prompt = _prompt_bound(program, plan)
     while True:
@@ -105,28 +118,36 @@
     if isinstance(appended, Fenced):
         detail = "Another instance owns the program now."
         return refuse(Reason.OWNERSHIP_LOST, detail, ran=Ran.NO)
-    detail = "Budget cannot be reserved while the store is away."
+    detail = "Budget cannot be reserved while the store is unavailable."
     return refuse(Reason.BUDGET_UNRESERVED, detail)
 
 
 async def charge_lost_attempt(
     shard: Shard, program: Program, plan: Plan
 ) -> Refusal | None:
-    """Counts an attempt without an answer, and reserves another.
+    """Charges an attempt without an answer and reserves tokens for another.
 
-    The engine may have made every token of it. Uncounted, a program whose
-    answers are cut again and again would spend without end.
+    The engine may have generated every token of the attempt. Without the
+    charge, a program whose answers are always cut off would have no limit.
+
+    Args:
+        shard: Shard of the program.
+        program: The program.
+        plan: The turn.
+
+    Returns:
+        The refusal if the budget allows no other attempt, else None.
     """
     requested_tokens = plan.max_tokens
     record = BudgetSpent(program.made.program, program.held)
     program.held = 0
-    # Not waited for: a new owner starts from what was reserved, which covers
-    # this.
+    # No need to wait for the commit: a new owner starts from the reserved
+    # tokens, which include these.
     apply(shard.programs, record)
     shard.log.enqueue(record)
     refusal = await reserve_tokens(shard, program, plan)
     if refusal is None and plan.max_tokens < requested_tokens:
-        # The next attempt asks for as much as the first.
+        # The next attempt needs as many tokens as the first.
         program.held = 0
         detail = "The budget does not allow another attempt."
         refusal = refuse(Reason.BUDGET_EXHAUSTED, detail)
@@ -134,9 +155,10 @@
 
 
 def _prompt_bound(program: Program, plan: Plan) -> int:
-    """Returns the most tokens the prompt can have.
+    """Returns an upper bound of the prompt's tokens.
 
-    Messages whose tokens no usage has told yet are counted by their bytes.
+    For messages that no reported usage covers yet, each byte counts as a
+    token.
     """
     known, tokens = _reported_usage(program, plan)
     rest = prompt_bound(plan.messages[known:])
@@ -144,10 +166,14 @@
 
 
 def _reported_usage(program: Program, plan: Plan) -> tuple[int, int]:
-    """Returns how many messages of the prompt usage has counted, and tokens.
+    """Returns how much of the prompt is covered by an engine's usage.
+
+    The engine counted the prompt of a stored turn. It did not count the
+    answer as part of a prompt, where it may have more tokens than when it was
+    generated.
 
-    The prompt of a kept turn was counted by the engine. Its answer was not:
-    read as part of a prompt, it may have more tokens than it was made of.
+    Returns:
+        Number of leading messages that are covered, and their tokens.
     """
     counted = [(0, 0)]
     for turn in program.turns:
--- a/libs/entry/src/rattanmill_entry/engines.py
+++ b/libs/entry/src/rattanmill_entry/engines.py
@@ -1,9 +1,9 @@
-"""Probes endpoints, so that those that die, hang or leave get no more work.
+"""Probes endpoints, so that those that crash, hang or drain get no more work.
 
-Each endpoint is probed by two instances of its failure domain, found by
-rendezvous hashing among those that live, so that the probes it gets do not
-grow with the number of instances. Others learn by notes, see ``signs``. Who
-has had a call fail there probes it at once.
+Each endpoint is probed by two instances of its failure domain, chosen by
+rendezvous hashing among the live ones, so that its number of probes does not
+grow with the number of instances. Other instances learn the results by notes,
+see ``signs``. An instance whose call failed at an endpoint probes it at once.
 """
 
 import asyncio
@@ -26,11 +26,11 @@
 _T = TypeVar("_T")
 _PROBERS_PER_ENDPOINT = 2
 _PROBE_INTERVAL_SECONDS = 1.0
-# An instance with more endpoints than this to probe does so less often: a
-# probe is about 400 bytes with its headers.
+# If more endpoints are due, each is probed less often: a probe is about 400
+# bytes with its headers.
 _PROBES_PER_ROUND = 2
 _PROBE_TIMEOUT_SECONDS = 1.0
-# A probe that took longer than this tells of a pause of our own.
+# A probe that took longer than this means that this process was paused.
 _PROCESS_PAUSE_SECONDS = 2.0
 _SILENT_PROBES_TO_CLOSE = 2
 _OUTAGE_WINDOW_SECONDS = 1.0
@@ -40,7 +40,7 @@
 
 
 class ProbeResult(enum.StrEnum):
-    """What a probe found."""
+    """Result of a probe."""
 
     GOOD = "good"
     DRAINING = "draining"
@@ -50,13 +50,13 @@
 
 
 class _ProbeHistory:
-    """What probing has found of one endpoint so far.
+    """Results of earlier probes of one endpoint.
 
     Attributes:
-        silent: Probes in a row without an answer.
-        stalled: Probes in a row that showed work and no progress.
+        silent: Consecutive probes without a response.
+        stalled: Consecutive probes that showed work but no progress.
         queued: Queued tokens at the last probe, or None.
-        task: The probe that is under way.
+        task: The probe that is running.
     """
 
     def __init__(self) -> None:
@@ -67,7 +67,14 @@
 
 
 class EndpointMonitor:
-    """Probes and judges endpoints.
+    """Probes endpoints, and closes and reopens them by the results.
+
+    Attributes:
+        histories: Probe history of each endpoint, by name.
+        live_instances: Names of the domain's instances, including this one,
+            that are not suspected to be dead.
+        ranks: Position of this instance among the probers of each endpoint.
+        round_number: Number of rounds so far.
 
     Args:
         node: The daemon's context.
@@ -91,10 +98,10 @@
             self.task.cancel()
 
     async def probe(self, state: EndpointState) -> ProbeResult:
-        """Probes an endpoint; those who ask at the same time share a probe.
+        """Probes an endpoint; concurrent callers share a probe.
 
-        A probe that was under way before is no answer: it may have begun
-        while the endpoint, which has crashed since, was well.
+        The result of a probe that was already running is not used: it may
+        have started before the endpoint crashed.
         """
         history = self.histories.setdefault(
             state.endpoint.name, _ProbeHistory()
@@ -121,57 +128,62 @@
             self._update_live_instances()
             for state in self._due():
                 self.node.spawn(self.probe(state))
-            for known in (self.histories, self.ranks):
-                for name in known.keys() - self.node.table.states.keys():
-                    del known[name]
+            for by_name in (self.histories, self.ranks):
+                for name in by_name.keys() - self.node.table.states.keys():
+                    del by_name[name]
 
     def _due(self) -> list[EndpointState]:
-        """Endpoints to probe in this round.
+        """Returns the endpoints to probe in this round.
 
-        Suspects and closed ones come each round, the others in turn. One of
-        another failure domain is probed from here only while it is closed to
-        us, to find out when it can be reached again.
+        Suspected and closed endpoints are due in each round, the others in
+        turn. An endpoint of another failure domain is probed from here only
+        while it is closed here, to learn when it can be reached again.
         """
-        urgent = []
-        routine = []
+        urgent_states = []
+        routine_states = []
         domain = self.node.settings.domain
         for state in self.node.table.states.values():
             if state.running and self._is_stalled(state):
-                urgent.append(state)
+                urgent_states.append(state)
             elif (
                 (state.endpoint.domain == domain or state.closed)
                 and state.listed
                 and self._rank(state) < _PROBERS_PER_ENDPOINT
             ):
-                (urgent if self._is_urgent(state) else routine).append(state)
-        rounds = -(-len(routine) // _PROBES_PER_ROUND) or 1
-        return urgent + routine[self.round_number % rounds :: rounds]
+                (
+                    urgent_states if self._is_urgent(state) else routine_states
+                ).append(state)
+        rounds = -(-len(routine_states) // _PROBES_PER_ROUND) or 1
+        return (
+            urgent_states + routine_states[self.round_number % rounds :: rounds]
+        )
 
     def _is_urgent(self, state: EndpointState) -> bool:
         history = self.histories.get(state.endpoint.name)
         return state.closed or bool(history and history.silent)
 
     def is_primary(self, state: EndpointState) -> bool:
-        """Whether this instance does what one instance does for an engine."""
+        """Whether this instance does the tasks that need one per engine."""
         own = state.endpoint.domain == self.node.settings.domain
         return own and self._rank(state) == 0
 
     def _rank(self, state: EndpointState) -> int:
-        """Returns our place among the probers of an endpoint.
+        """Returns this instance's position among an endpoint's probers.
 
-        Kept until the instances change: worked out anew in each round for
-        all endpoints, it would cost a node more than all its other control.
+        Cached until the instances change: computed for all endpoints in each
+        round, it would cost more than all other control work of a node.
         """
         name = state.endpoint.name
         if name not in self.ranks:
             ranked = sorted(
-                self.live_instances, key=lambda each: _weight(each, name)
+                self.live_instances,
+                key=lambda instance: _weight(instance, name),
             )
             self.ranks[name] = ranked.index(self.node.settings.name)
         return self.ranks[name]
 
     def _update_live_instances(self) -> None:
-        """Notes which instances of our domain are not known to be dead."""
+        """Updates which instances of this domain are not suspected dead."""
         node = self.node
         live_instances = {
             record.name
@@ -185,22 +197,22 @@
             self.ranks.clear()
 
     def _is_stalled(self, state: EndpointState) -> bool:
-        """Whether our calls there have made no progress for a while."""
+        """Whether this instance's calls there have made no progress lately."""
         idle = loop_seconds() - state.progress_at
         return bool(state.running) and idle > _STALL_SECONDS
 
     async def _run_probe(
         self, state: EndpointState, history: _ProbeHistory
     ) -> ProbeResult:
-        began = loop_seconds()
-        found, load = await self._query(state)
-        if loop_seconds() - began > _PROCESS_PAUSE_SECONDS:
-            # We were stopped, not the endpoint: its answer may have been
-            # there all the time.
-            found = ProbeResult.INCONCLUSIVE
-        self.node.metrics.count("rattanmill_probes", found=found)
-        self._apply_result(state, history, found, load)
-        return found
+        started_at = loop_seconds()
+        result, load = await self._query(state)
+        if loop_seconds() - started_at > _PROCESS_PAUSE_SECONDS:
+            # This process was paused, not the endpoint, whose response may
+            # have arrived in time.
+            result = ProbeResult.INCONCLUSIVE
+        self.node.metrics.count("rattanmill_probes", found=result)
+        self._apply_result(state, history, result, load)
+        return result
 
     async def _query(
         self, state: EndpointState
@@ -223,7 +235,7 @@
         return ProbeResult.GOOD, load
 
     async def _connect(self, url: str) -> None:
-        """Opens and closes a connection: a plain service has no probe."""
+        """Opens and closes a connection: a plain service has no load API."""
         host, port = url.rsplit("//", 1)[1].split("/")[0].rsplit(":", 1)
         local = (self.node.settings.http.rsplit(":", 1)[0], 0)
         async with asyncio.timeout(_PROBE_TIMEOUT_SECONDS):
@@ -233,10 +245,10 @@
         writer.close()
 
     async def _read_load(self, url: str) -> Load | None:
-        """Reads an engine's load on a connection of its own.
+        """Reads an engine's load on a new connection.
 
-        One that is kept would still be answered by a process that is leaving
-        and has closed its listening socket.
+        On a kept-alive connection, a process that is shutting down still
+        responds after it has closed its listening socket.
         """
         timeout = aiohttp.ClientTimeout(total=_PROBE_TIMEOUT_SECONDS)
         async with self.node.act_session.get(
@@ -252,45 +264,47 @@
         self,
         state: EndpointState,
         history: _ProbeHistory,
-        found: ProbeResult,
+        result: ProbeResult,
         load: Load | None,
     ) -> None:
         table = self.node.table
-        if found is ProbeResult.INCONCLUSIVE:
+        if result is ProbeResult.INCONCLUSIVE:
             return
         history.silent = (
-            history.silent + 1 if found is ProbeResult.SILENT else 0
+            history.silent + 1 if result is ProbeResult.SILENT else 0
         )
         if load:
             state.report(load)
-        if found is ProbeResult.REFUSED:
+        if result is ProbeResult.REFUSED:
             if not state.reach.closed:
                 table.close(state, Aspect.REACH, Sign.REFUSED)
                 self._suspect_outage(state)
         elif history.silent >= _SILENT_PROBES_TO_CLOSE:
             table.close(state, Aspect.REACH, Sign.SILENT)
-        elif found is ProbeResult.DRAINING:
+        elif result is ProbeResult.DRAINING:
             table.close(state, Aspect.DEPARTURE, Sign.DRAINING)
         progresses = self._makes_progress(state, history, load)
         if history.stalled >= _STALLED_PROBES_TO_CLOSE:
             table.close(state, Aspect.REACH, Sign.STALLED)
-        answered = found in (ProbeResult.GOOD, ProbeResult.DRAINING)
+        answered = result in (ProbeResult.GOOD, ProbeResult.DRAINING)
         if answered and not self._is_stalled(state):
             state.avoid_until = 0.0
         now = loop_seconds()
         if state.reach.probed(answered and progresses, now):
             table.reopen(state, Aspect.REACH)
-            _log.info("Endpoint {} works again.", state.endpoint.name)
-        back = found is ProbeResult.GOOD and state.endpoint.state == "live"
-        if state.departure.probed(back and state.listed, now):
+            _log.info("Endpoint {} is reachable again.", state.endpoint.name)
+        has_returned = (
+            result is ProbeResult.GOOD and state.endpoint.state == "live"
+        )
+        if state.departure.probed(has_returned and state.listed, now):
             table.reopen(state, Aspect.DEPARTURE)
-            _log.info("Endpoint {} is back.", state.endpoint.name)
+            _log.info("Endpoint {} is in service again.", state.endpoint.name)
 
     def _suspect_outage(self, state: EndpointState) -> None:
-        """Probes others of a domain that has just lost a second endpoint.
+        """Probes more endpoints of a domain that has just lost a second one.
 
-        In an outage a call would else be moved from one dead endpoint to the
-        next until its tries are used up.
+        Otherwise, in an outage, a call would be retried at one dead endpoint
+        after the other until it has no attempts left.
         """
         since = loop_seconds() - _OUTAGE_WINDOW_SECONDS
         siblings = self._siblings(state)
@@ -300,7 +314,12 @@
     async def probe_siblings(
         self, state: EndpointState, max_probes: int
     ) -> None:
-        """Probes some others of an endpoint's kind in its failure domain."""
+        """Probes other endpoints of the same kind and failure domain.
+
+        Args:
+            state: The endpoint; it is not probed itself.
+            max_probes: Maximum number of endpoints, chosen at random.
+        """
         siblings = [
             other for other in self._siblings(state) if not other.closed
         ]
@@ -319,17 +338,22 @@
     def _makes_progress(
         self, state: EndpointState, history: _ProbeHistory, load: Load | None
     ) -> bool:
-        """Whether an engine that has work gets on with it.
+        """Whether an engine that has work makes progress.
 
-        A half-dead engine accepts connections and answers probes while its
-        batch stands still. What shows it is that none of our calls there has
-        had a token for seconds and its queue does not shrink either.
+        An engine that hangs may accept connections and answer probes while
+        its batch makes no progress. The signs are that no call of this
+        instance there got a token for seconds and that its queue does not
+        shrink.
         """
         if load is None:
             return True
-        before, history.queued = history.queued, load.queued_tokens
+        previous_queued, history.queued = history.queued, load.queued_tokens
         busy = load.waiting + load.running > 0
-        progresses = not busy or before is None or load.queued_tokens < before
+        progresses = (
+            not busy
+            or previous_queued is None
+            or load.queued_tokens < previous_queued
+        )
         stalled = self._is_stalled(state) and not progresses
         history.stalled = history.stalled + 1 if stalled else 0
         return progresses
@@ -338,10 +362,14 @@
 async def stop_when_closed(
     parts: AsyncGenerator[_T], state: EndpointState
 ) -> AsyncIterator[_T | Failed]:
-    """Yields the parts of an answer, or a failure if its endpoint is given up.
+    """Yields the parts of an answer, or Failed if its endpoint is closed.
 
-    Without it, a call at an engine that hangs waits for the longest silence
-    that a healthy engine may keep.
+    Without this, a call at an engine that hangs would wait for the longest
+    time that a healthy engine may take between tokens.
+
+    Args:
+        parts: The parts of the answer.
+        state: The endpoint that answers.
     """
     if not state.running:
         state.progress_at = loop_seconds()
--- a/libs/entry/src/rattanmill_entry/expiry.py
+++ b/libs/entry/src/rattanmill_entry/expiry.py
@@ -1,4 +1,4 @@
-"""Ends programs whose time has run out."""
+"""Ends programs that have exceeded their time limit."""
 
 import asyncio
 import time
@@ -11,10 +11,10 @@
 
 
 async def end_expired(node: Node) -> None:
-    """Ends what is over its time in the shards of this instance.
+    """Ends the expired programs in the shards of this instance.
 
-    Nobody asks for a program whose caller has died. Without this it would
-    hold engine memory, and its parent's tokens, for ever.
+    A program whose caller has crashed gets no more calls. Without this, it
+    would hold engine memory, and its parent's tokens, forever.
     """
     if not node.lease.holds():
         return
@@ -42,4 +42,4 @@
                 record = ProgramEnded(program.made.program, time.time())
                 await shard.keep(record)
                 node.metrics.count("rattanmill_programs_expired")
-                _log.info("Program {} ran out of time.", program.made.program)
+                _log.info("Program {} expired.", program.made.program)
--- a/libs/entry/src/rattanmill_entry/handover.py
+++ b/libs/entry/src/rattanmill_entry/handover.py
@@ -1,4 +1,4 @@
-"""Moves shards to other instances: to even them out, or when we leave."""
+"""Moves shards to other instances, for balance or at shutdown."""
 
 import asyncio
 import time
@@ -22,15 +22,17 @@
 
 
 class Handover:
-    """Shards on their way from this instance to others.
+    """Transfers shards from this instance to others.
 
     Attributes:
-        unsure: Whether a change of owners may or may not have been stored.
-        next_move: When a move is tried again after one that failed.
+        write_uncertain: Whether it is unknown if a change of owners was
+            stored.
+        move_task: The move that is running or ran last.
+        next_move_at: Monotonic time of the next move after one that failed.
 
     Args:
         node: The daemon's context.
-        note: Takes the owners after a change that was stored.
+        record_owners: Receives the owners after each stored change.
     """
 
     def __init__(
@@ -40,33 +42,33 @@
         self.domain = node.settings.domain
         self.record_owners = record_owners
         self.write_uncertain = False
-        self.moving: asyncio.Task | None = None
+        self.move_task: asyncio.Task | None = None
         self.next_move_at = 0.0
 
     def rebalance(self, owners: DomainShards | None) -> None:
-        """Begins to give a shard to an instance with less than its share."""
-        moving = self.moving and not self.moving.done()
-        if owners is None or moving or time.monotonic() < self.next_move_at:
+        """Starts to move a shard to an instance that owns too few."""
+        is_moving = self.move_task and not self.move_task.done()
+        if owners is None or is_moving or time.monotonic() < self.next_move_at:
             return
-        living = staying(self.node)
+        staying_instances = staying(self.node)
         held = {
             name: sum(1 for o in owners.shards if o.incarnation == incarnation)
-            for name, incarnation in living.items()
+            for name, incarnation in staying_instances.items()
         }
-        mine = held.get(self.node.settings.name, 0)
+        own_count = held.get(self.node.settings.name, 0)
         least_loaded = min(held, key=lambda other: held[other], default="")
         if (
-            mine <= share(self.node, len(owners.shards))
-            or held[least_loaded] + 1 >= mine
+            own_count <= share(self.node, len(owners.shards))
+            or held[least_loaded] + 1 >= own_count
         ):
             return
         shards = self.node.shards.values()
         shard = min(shards, key=lambda s: s.active, default=None)
         if shard:
-            self.moving = self.node.spawn(self._move(shard, least_loaded))
+            self.move_task = self.node.spawn(self._move(shard, least_loaded))
 
     async def _move(self, shard: Shard, target: str) -> None:
-        """Moves a shard while the instance goes on; gives up if it is busy."""
+        """Moves a shard while the instance serves; gives up if it is busy."""
         if not await self._transfer(shard, target, _MOVE_DRAIN_SECONDS):
             self.next_move_at = time.monotonic() + _MOVE_RETRY_SECONDS
 
@@ -77,10 +79,17 @@
         drain_seconds: float,
         flush_seconds: float = _FLUSH_TIMEOUT_SECONDS,
     ) -> bool:
-        """Hands one shard over after its running turns are finished.
+        """Transfers one shard after its running calls have finished.
+
+        Args:
+            shard: The shard.
+            target: Name of the next owner, or empty for none.
+            drain_seconds: Longest wait for running calls.
+            flush_seconds: Longest wait for the log to be committed.
 
         Returns:
-            Whether another instance has it now. If not, we serve it again.
+            Whether another instance owns it now. If not, it is served here
+            again.
         """
         key = shard.log.name
         if self.node.shards.pop(key, None) is not shard:
@@ -95,7 +104,7 @@
         finally:
             del self.node.parting[key]
         if isinstance(changed, Unavailable):
-            # It may be another's already: load it anew if it is not.
+            # Another instance may own it already; if not, it is loaded again.
             self.write_uncertain = True
             shard.log.stop()
             return False
@@ -109,7 +118,7 @@
         return False
 
     def _owner_record(self, name: str) -> ShardOwner:
-        """Returns an instance as an owner; nobody if it is not known."""
+        """Returns the owner record of an instance, NO_OWNER if unknown."""
         record = self.node.live.instances.get(name)
         if record is None:
             return NO_OWNER
@@ -128,41 +137,47 @@
         )
 
     async def transfer_all(self, until: float) -> None:
-        """Hands each shard on as soon as it is quiet, until that loop time.
+        """Transfers each shard as soon as it has no running call.
+
+        A shard with a long stream must not delay the transfer of the others,
+        and a shard that stays busy must not keep the process running.
 
-        One shard with a long stream must not keep all others from their next
-        owners, and what is not quiet in time must not keep the process.
+        Args:
+            until: Monotonic time at which to give up.
         """
-        if self.moving:
-            await asyncio.wait([self.moving])
+        if self.move_task:
+            await asyncio.wait([self.move_task])
         shards = list(self.node.shards.values())
-        left = max(0.0, until - time.monotonic())
+        remaining_seconds = max(0.0, until - time.monotonic())
         successors = self._successors()
         transfers = [
             self._transfer(
-                shard, successors[index % len(successors)], left, left
+                shard,
+                successors[index % len(successors)],
+                remaining_seconds,
+                remaining_seconds,
             )
             for index, shard in enumerate(shards)
         ]
         await asyncio.gather(*transfers)
 
     def _successors(self) -> list[str]:
-        """Who may get our shards when we leave; nobody if we are the last."""
+        """Names of possible next owners; one empty name if there are none."""
         name = self.node.settings.name
         return [other for other in staying(self.node) if other != name] or [""]
 
     async def forward_received(self, owners: DomainShards | None) -> None:
-        """Passes on shards that were given to us while we shut down.
+        """Transfers shards that were assigned here during the shutdown.
 
-        Whoever gave them had not heard of the shutdown. Left alone, their
+        The previous owner did not know of the shutdown yet. Without this, the
         programs would have no owner until this process has ended.
         """
         successors = self._successors()
         for number, owner in enumerate(owners.shards if owners else ()):
             key = (self.domain, number)
-            here = key in self.node.shards or key in self.node.parting
-            mine = owner.incarnation == self.node.incarnation
-            if not mine or here:
+            is_local = key in self.node.shards or key in self.node.parting
+            is_own = owner.incarnation == self.node.incarnation
+            if not is_own or is_local:
                 continue
             new = self._owner_record(successors[number % len(successors)])
             changed = await transfer_shard(
--- a/libs/entry/src/rattanmill_entry/memory.py
+++ b/libs/entry/src/rattanmill_entry/memory.py
@@ -1,12 +1,12 @@
-"""Engine memory held for programs: pins, their release, and the sweep.
-
-The owner of a program pins its cache at the engine that ran its last turn and
-releases it when the program ends or stays away for too long. A release can be
-lost, an owner can die, and an old one can wake up and pin again. So the pins
-that engines report are swept: one instance of each engine's failure domain
-reads them and tells each shard's owner which there are; only the owner, who
-knows which programs live, lets go. While an owner cannot be asked, its
-programs' pins stay.
+"""Cache that engines hold for programs: pins, their release, and the sweep.
+
+The owner of a program pins the program's cache at the engine that ran its
+last turn, and releases it when the program ends or pauses for too long. A
+release can be lost, an owner can crash, and an owner that was paused can pin
+again when it is resumed. So the pins that engines report are swept: one
+instance of each engine's failure domain reads them and sends them to the
+owners of the shards. Only an owner knows which programs are live, so only the
+owner releases pins. While an owner is unreachable, its programs' pins stay.
 """
 
 import asyncio
@@ -33,8 +33,8 @@
 _log = part_logger("memory")
 _RELEASE_INTERVAL_SECONDS = 1.0
 _MIN_SWEEP_INTERVAL_SECONDS = 3.0
-# The more pins were read, the longer until the next engine is swept: with the
-# message to the owner, a pin is about 130 bytes.
+# The more pins were read, the later the next engine is swept. A pin is about
+# 130 bytes, with the message to the owner.
 _BYTES_PER_PIN = 130
 _MAX_SWEEP_BYTES_PER_SECOND = 500
 _REQUEST_TIMEOUT_SECONDS = 2.0
@@ -51,11 +51,16 @@
 
 
 class EngineMemory:
-    """Pins of the programs that this instance owns, and the sweep.
+    """Manages the pins of this instance's programs, and sweeps engines.
+
+    Attributes:
+        pinned_programs: Pins of each program, by program id.
+        sweep_index: Number of sweeps so far; selects the next engine.
+        next_sweep_at: Loop time of the next sweep.
 
     Args:
         node: The daemon's context.
-        watch: Tells which engines this instance sweeps.
+        monitor: Decides which engines this instance sweeps.
     """
 
     def __init__(self, node: Node, monitor: EndpointMonitor) -> None:
@@ -75,12 +80,12 @@
             self.task.cancel()
 
     def turn_started(self, program: str) -> None:
-        """Learns how long the program's tool pause was."""
+        """Records how long the program paused for its tools."""
         if pinned := self.pinned_programs.get(program):
             pinned.returned(loop_seconds())
 
     def turn_finished(self, run: ChatRun, state: EndpointState) -> None:
-        """Keeps the program's cache where its turn ran, if that is worth it."""
+        """Pins the program's cache where its turn ran, if that is worth it."""
         program = run.work.program
         found = self._find_owned(program)
         if found is None:
@@ -97,16 +102,16 @@
         elif pinned.is_worth_keeping(tokens) and has_room(
             state, tokens, self._tokens_at(name)
         ):
-            # Noted first: if the answer is lost, the pin may be there.
+            # Recorded first: if the response is lost, the pin may exist.
             pinned.pins[name] = Pin(tokens, pinned.deadline(loop_seconds()))
             self.node.spawn(self._pin(run, state))
 
     def handle_pins_held(self, message: PinsHeld) -> None:
-        """Lets go of reported pins whose programs have ended.
+        """Releases reported pins whose programs have ended.
 
-        Only as the shard's owner with a valid lease: an owner that was paused
-        does not know of programs that began since. What a later epoch pinned
-        is not ours to judge either.
+        Only done by the shard's owner with a held lease: an owner that was
+        paused does not know of programs that were created since. Pins of a
+        later epoch are left to the later owner.
         """
         domain, _, number = message.shard.rpartition(".")
         key = (domain, int(number) if number.isdecimal() else -1)
@@ -124,7 +129,7 @@
             return
         pinned = self.pinned_programs.setdefault(program, Pinned())
         if not pinned.pins:
-            # Pinned by an owner before us.
+            # Pinned by an earlier owner.
             pinned.pins[engine] = Pin(0, pinned.deadline(loop_seconds()))
             self._count("adopted")
         elif engine not in pinned.pins:
@@ -144,7 +149,7 @@
                 self.node.spawn(self._sweep(state))
 
     def _release_stale_pins(self) -> None:
-        """Releases what ended programs and overdue pauses hold."""
+        """Releases pins of programs that ended or paused for too long."""
         if not self.node.lease.holds():
             return
         now = loop_seconds()
@@ -189,9 +194,9 @@
         await self._send_request(state.endpoint.url, "/v1/pins", body, "pinned")
 
     def _release(
-        self, shard: Shard, program: str, engine: str, why: str
+        self, shard: Shard, program: str, engine: str, outcome: str
     ) -> None:
-        """Lets go of one pin; if the order is lost, the sweep finds it."""
+        """Releases one pin; if the request is lost, the sweep finds the pin."""
         if pinned := self.pinned_programs.get(program):
             pinned.pins.pop(engine, None)
         state = self.node.table.states.get(engine)
@@ -200,10 +205,12 @@
         fence = f"{shard.domain}.{shard.number}:{shard.epoch}"
         body = {"owner": program, "fence": fence}
         url = state.endpoint.url
-        self.node.spawn(self._send_request(url, "/v1/pins/release", body, why))
+        self.node.spawn(
+            self._send_request(url, "/v1/pins/release", body, outcome)
+        )
 
     async def _send_request(
-        self, url: str, path: str, body: dict, what: str
+        self, url: str, path: str, body: dict, outcome: str
     ) -> None:
         timeout = aiohttp.ClientTimeout(total=_REQUEST_TIMEOUT_SECONDS)
         try:
@@ -221,11 +228,11 @@
         if status == _FENCED_STATUS:
             self._count("fenced")
         else:
-            self._count(what if status == 200 else "failed")
+            self._count(outcome if status == 200 else "failed")
 
     def _next_to_sweep(self) -> EndpointState | None:
-        """Returns the next engine whose pins this instance reads."""
-        mine = [
+        """Returns the next engine to sweep, or None."""
+        own_engines = [
             state
             for state in self.node.table.states.values()
             if state.endpoint.kind == "engine"
@@ -233,7 +240,11 @@
             and self.monitor.is_primary(state)
         ]
         self.sweep_index += 1
-        return mine[self.sweep_index % len(mine)] if mine else None
+        return (
+            own_engines[self.sweep_index % len(own_engines)]
+            if own_engines
+            else None
+        )
 
     async def _sweep(self, state: EndpointState) -> None:
         reported = await self._read_pins(state)
@@ -278,5 +289,5 @@
         ):
             return None
 
-    def _count(self, order: str) -> None:
-        self.node.metrics.count("rattanmill_pins", order=order)
+    def _count(self, outcome: str) -> None:
+        self.node.metrics.count("rattanmill_pins", outcome=outcome)
--- a/libs/entry/src/rattanmill_entry/overlap.py
+++ b/libs/entry/src/rattanmill_entry/overlap.py
@@ -1,7 +1,8 @@
-"""Compares another run of an answer with what has been delivered of it.
+"""Compares a repeated run of an answer with the part already delivered.
 
-Engines do not promise to make the same tokens twice. A second run may go on
-where the first was cut only if it begins with all that the caller has seen.
+Engines do not guarantee the same tokens in two runs. A second run may
+continue an answer that was cut off only if it starts with all the text that
+the caller has received.
 """
 
 from collections.abc import Iterator
@@ -16,14 +17,20 @@
 
 
 class Overlap:
-    """What has been delivered, and how much of it a new run has repeated."""
+    """Tracks the delivered text, and how much of it a new run has repeated.
+
+    Attributes:
+        delivered: Delivered pieces of text, by path of the field.
+        unrepeated: Delivered text that the current run has not repeated yet,
+            by path of the field.
+    """
 
     def __init__(self) -> None:
         self.delivered: dict[_Path, list[str]] = {}
         self.unrepeated: dict[_Path, str] = {}
 
     def start_run(self) -> None:
-        """Begins the comparison with a new run."""
+        """Starts the comparison with a new run."""
         self.unrepeated = {k: "".join(v) for k, v in self.delivered.items()}
 
     @property
@@ -32,7 +39,15 @@
         return not any(self.unrepeated.values())
 
     def take_undelivered(self, fields: dict) -> dict | Mismatch:
-        """Returns the part of a delta that has not been delivered yet."""
+        """Returns the part of a delta to deliver, and counts it as delivered.
+
+        Args:
+            fields: The delta.
+
+        Returns:
+            The delta without the text that was delivered before; Mismatch if
+            it differs from that text.
+        """
         for path, text in _string_fields(fields):
             unrepeated = self.unrepeated.get(path, "")
             count = min(len(unrepeated), len(text))
@@ -53,7 +68,7 @@
 
 
 def _string_fields(fields: dict, at: _Path = ()) -> Iterator[tuple[_Path, str]]:
-    """Yields path and text of each string in a delta."""
+    """Yields the path and text of each string in a delta."""
     for name, value in fields.items():
         if isinstance(value, str):
             yield (*at, name), value
@@ -66,7 +81,7 @@
 
 
 def _drop_prefix(fields: dict, path: _Path, count: int) -> dict:
-    """Returns the delta without the first letters of one of its strings."""
+    """Returns the delta without the first characters of one of its strings."""
     name, *rest = path
     value = fields[name]
     if not rest:
--- a/libs/entry/src/rattanmill_entry/owners.py
+++ b/libs/entry/src/rattanmill_entry/owners.py
@@ -1,7 +1,7 @@
-"""The owners of a failure domain's shards, as one value of the service.
+"""Owners of a failure domain's shards, one value in the key-value service.
 
-Each change is a compare-and-swap that raises the value's epoch; a shard's
-epoch is that of the change that gave it to its owner.
+Each change is a compare-and-swap that increments the value's epoch. A shard's
+epoch is that of the change that assigned it to its owner.
 """
 
 import asyncio
@@ -28,7 +28,7 @@
 
 
 class StoredOwners(msgspec.Struct, frozen=True):
-    """The owners as stored, and the revision that wrote them (0: none)."""
+    """The stored owners, and the revision that wrote them (0: none)."""
 
     owners: DomainShards
     revision: int
@@ -37,7 +37,13 @@
 async def read_owners(
     kv: KvClient, domain: str, count: int
 ) -> StoredOwners | Unavailable:
-    """Reads the owners; nobody owns any of ``count`` shards at first."""
+    """Reads the owners.
+
+    Args:
+        kv: Client of the key-value service.
+        domain: Failure domain.
+        count: Number of shards, used while no owners are stored.
+    """
     found = await kv.read(shards_key(domain))
     if isinstance(found, Unavailable):
         return found
@@ -45,7 +51,7 @@
         try:
             owners = msgspec.json.decode(found.entry.value, type=DomainShards)
         except msgspec.DecodeError as error:
-            return Unavailable(f"owners of {domain} do not decode: {error}")
+            return Unavailable(f"owners of {domain} are undecodable: {error}")
         return StoredOwners(owners, found.entry.revision)
     return StoredOwners(DomainShards(0, [NO_OWNER] * count), 0)
 
@@ -56,11 +62,20 @@
     stored: StoredOwners,
     targets: dict[int, ShardOwner],
 ) -> DomainShards | Conflict | Unavailable:
-    """Writes new owners of some shards over what was read.
+    """Assigns some shards to new owners.
+
+    With no targets, the write only makes all changes fail that are based on
+    an earlier read. If the response to the write is lost, the owners are read
+    again: the change id shows whether the write took effect.
 
-    The epochs of ``targets`` are set here. With no targets the write only
-    makes every other change fail that was prepared before it. A write whose
-    answer was lost is settled by reading: the change id tells whose it was.
+    Args:
+        kv: Client of the key-value service.
+        domain: Failure domain.
+        stored: The owners as read before.
+        targets: New owners by shard number; their epochs are set here.
+
+    Returns:
+        The stored owners, or why they were not stored.
     """
     epoch = stored.owners.epoch + 1
     shards = list(stored.owners.shards)
@@ -76,7 +91,11 @@
     for number, owner in targets.items():
         name = owner.owner or "nobody"
         _log.info(
-            "Shard {}.{} given to {} at epoch {}.", domain, number, name, epoch
+            "Shard {}.{} assigned to {} at epoch {}.",
+            domain,
+            number,
+            name,
+            epoch,
         )
     return changed
 
@@ -84,10 +103,20 @@
 async def transfer_shard(
     kv: KvClient, domain: str, number: int, old: ShardOwner, new: ShardOwner
 ) -> DomainShards | Conflict | Unavailable:
-    """Gives one shard from ``old`` to ``new`` if it still is its owner's.
+    """Assigns a shard to ``new`` if ``old`` still owns it.
+
+    Other instances may change the owners of other shards at the same time.
+    A conflict with such a change is retried.
+
+    Args:
+        kv: Client of the key-value service.
+        domain: Failure domain.
+        number: Shard number.
+        old: Expected owner, with its epoch.
+        new: Next owner.
 
-    Other instances may change the owners of other shards at the same time;
-    a conflict with those is tried again.
+    Returns:
+        The stored owners, or why they were not stored.
     """
     outcome: DomainShards | Conflict | Unavailable = Conflict(0)
     for _ in range(_MAX_TRIES):
--- a/libs/entry/src/rattanmill_entry/ownership.py
+++ b/libs/entry/src/rattanmill_entry/ownership.py
@@ -1,4 +1,4 @@
-"""Which shards this instance owns: claims, takeovers and handovers."""
+"""Shard ownership of this instance: claims, takeovers and handovers."""
 
 import asyncio
 import random
@@ -40,11 +40,16 @@
 
 
 class Ownership:
-    """Keeps this instance's shards in step with the domain's owners.
+    """Reconciles this instance's shards with the owners of its domain.
 
     Attributes:
+        node: The daemon's context.
+        domain: Failure domain of this instance.
+        wake: Set to reconcile at once.
+        tasks: Background tasks.
         handover: Moves shards to other instances.
-        not_before: When a shard whose log is broken is tried again.
+        retry_at: Monotonic time at which a shard whose log is broken is
+            loaded again, by failure domain and number.
     """
 
     def __init__(self, node: Node) -> None:
@@ -79,11 +84,11 @@
                 await self.reconcile()
             except Exception as error:
                 raise InvariantError(
-                    f"Shards cannot be kept: {error!r}"
+                    f"Shards cannot be reconciled: {error!r}"
                 ) from error
 
     async def reconcile(self) -> None:
-        """Drops what is lost, loads what is ours, claims what is free."""
+        """Drops lost shards, loads owned ones and claims free ones."""
         node = self.node
         self._drop_lost()
         if not node.live.synced or not node.config.domains:
@@ -122,9 +127,9 @@
     def _drop_lost(self) -> None:
         owners = self.node.live.shards.get(self.domain)
         for shard in list(self.node.shards.values()):
-            # A view older than our claim does not count.
-            newer = owners is not None and owners.epoch >= shard.epoch
-            lost = newer and self._is_lost(shard, owners)
+            # A view older than this instance's claim proves no loss.
+            view_is_newer = owners is not None and owners.epoch >= shard.epoch
+            lost = view_is_newer and self._is_lost(shard, owners)
             if lost or shard.log.fenced:
                 self._drop(shard)
 
@@ -134,13 +139,13 @@
         _log.warning("Shard {}.{} lost.", *shard.log.name)
 
     async def _confirm_ownership(self) -> None:
-        """Makes sure of our shards after they could have been taken.
+        """Confirms ownership after others may have taken the shards.
 
-        An instance that was paused gets a new lease before it hears that it
-        was replaced. If the service went silent in between, it would go on
-        for the whole outage, beside the new owner. So it reads the owners,
-        and writes them: a taker who judged us dead before finds its
-        compare-and-swap refused.
+        An instance that was paused gets a new lease before it learns that it
+        was replaced. If the key-value service failed in between, it would
+        serve its shards for the whole outage, beside the new owner. So it
+        reads the owners and writes them back: the compare-and-swap of an
+        instance that considered this one dead before then fails.
         """
         node = self.node
         if not node.lease.valid():
@@ -151,8 +156,8 @@
         )
         if isinstance(stored, Unavailable):
             return
-        parting = [each.shard for each in node.parting.values()]
-        held = [*node.shards.values(), *parting]
+        moving_shards = [each.shard for each in node.parting.values()]
+        held = [*node.shards.values(), *moving_shards]
         for shard in held:
             if self._is_lost(shard, stored.owners):
                 self._drop(shard)
@@ -169,18 +174,19 @@
             _log.info("Ownership confirmed.")
 
     def record_owners(self, changed: DomainShards) -> None:
-        """Takes owners that were stored into the view, ahead of the watch."""
+        """Updates the live view with stored owners before the watch does."""
         known = self.node.live.shards.get(self.domain)
         if known is None or changed.epoch > known.epoch:
             self.node.live.shards[self.domain] = changed
         self.wake.set()
 
     def _learn_addresses(self, owners: DomainShards | None) -> None:
-        """Gets to know owners whose records are gone from the service.
+        """Learns the addresses of owners that have no instance record.
 
-        An owner that is cut off from the service goes on serving as long as
-        its peers hear it. An instance that has just started never saw its
-        record; it must ask at the address before it may judge it dead.
+        An owner that is cut off from the key-value service continues to serve
+        as long as its peers receive its heartbeats. An instance that has just
+        started never read its record, and must send it heartbeats before it
+        may consider it dead.
         """
         for owner in owners.shards if owners else ():
             if owner.owner and owner.owner not in self.node.addresses:
@@ -196,9 +202,9 @@
     async def _load_owned(self, owners: DomainShards | None) -> None:
         for number, owner in enumerate(owners.shards if owners else []):
             key = (self.domain, number)
-            here = key in self.node.shards or key in self.node.parting
-            paused = time.monotonic() < self.retry_at.get(key, 0.0)
-            if self._is_own(owner) and not here and not paused:
+            is_local = key in self.node.shards or key in self.node.parting
+            retry_pending = time.monotonic() < self.retry_at.get(key, 0.0)
+            if self._is_own(owner) and not is_local and not retry_pending:
                 await self._load(number, owner.epoch)
 
     async def _load(self, number: int, epoch: int) -> None:
@@ -212,7 +218,7 @@
             self._report_unloaded(number, recovered)
             return
         if interruptions != node.lease.interruptions or not node.lease.holds():
-            # What was read before a pause may have another owner by now.
+            # A shard read before a pause may have another owner by now.
             return
         log = ShardLog(
             node.kv,
@@ -237,21 +243,23 @@
         )
 
     def _report_unloaded(
-        self, number: int, why: Unavailable | Fenced | Broken
+        self, number: int, failure: Unavailable | Fenced | Broken
     ) -> None:
-        if not isinstance(why, Broken):
-            _log.warning("Shard {}.{} not recovered.", self.domain, number)
+        if not isinstance(failure, Broken):
+            _log.warning("Shard {}.{} not loaded.", self.domain, number)
             return
-        # The other shards must not suffer from one log that is wrong.
-        _log.error("Shard {}.{} is broken: {}", self.domain, number, why.why)
+        # One broken log must not affect the other shards.
+        _log.error(
+            "Shard {}.{} is broken: {}", self.domain, number, failure.why
+        )
         self.node.metrics.count("rattanmill_shards_broken")
-        again = time.monotonic() + _BROKEN_LOG_RETRY_SECONDS
-        self.retry_at[self.domain, number] = again
+        retry_at = time.monotonic() + _BROKEN_LOG_RETRY_SECONDS
+        self.retry_at[self.domain, number] = retry_at
 
     def _shard_count(self, owners: DomainShards | None) -> int:
         """Number of shards; fixed when the owners are first written.
 
-        Programs' ids and the place of acts without a program depend on it.
+        Programs' ids and the shards of acts without a program depend on it.
         """
         if owners:
             return len(owners.shards)
@@ -259,11 +267,15 @@
         return plan.shards if plan else 0
 
     def _is_free(self, owner: ShardOwner, living: dict[str, str]) -> bool:
-        """Whether a shard's owner is gone for certain.
+        """Whether a shard has no owner, or its owner is certainly gone.
+
+        The owner's lease must have expired, and it must have been silent on
+        the peer link as well: an owner that is cut off from the key-value
+        service continues to serve as long as its peers receive its heartbeats.
 
-        The service must have seen its lease lapse, and it must have been
-        silent on the peer link, too: an owner cut off from the service goes
-        on serving as long as its peers hear it.
+        Args:
+            owner: Stored owner of the shard.
+            living: Incarnations of the instances with a lease, by name.
         """
         if not owner.owner:
             return True
@@ -277,16 +289,19 @@
         )
 
     def _unanswered_seconds(self, name: str) -> float:
-        """Seconds for which an owner has left heartbeats unanswered.
+        """Seconds for which an owner has not answered heartbeats.
 
-        Counted from when we began to send it some: an owner that is cut off
-        from the service does not know us if we are new, but it answers.
+        Counted from the first heartbeat that this instance sent: an owner
+        that is cut off from the key-value service does not know a new
+        instance and sends it nothing, but answers its heartbeats.
         """
         now = time.monotonic()
         peer = self.node.hub.peers.get(name)
-        heard = peer.heard if peer else 0.0
-        asked = self.node.suspects.get(name, now)
-        return now - max(heard, asked, self.node.lease.resumed_at)
+        last_heard_at = peer.heard if peer else 0.0
+        suspected_at = self.node.suspects.get(name, now)
+        return now - max(
+            last_heard_at, suspected_at, self.node.lease.resumed_at
+        )
 
     def _update_suspects(self, owners: DomainShards | None) -> None:
         living = living_instances(self.node)
@@ -306,8 +321,8 @@
         living = living_instances(self.node)
         free = [n for n, o in enumerate(known) if self._is_free(o, living)]
         held = sum(1 for owner in known if self._is_own(owner))
-        wanted = free[: max(0, share(self.node, count) - held)]
-        if not wanted:
+        claimed_numbers = free[: max(0, share(self.node, count) - held)]
+        if not claimed_numbers:
             return
         node = self.node
         stored = await read_owners(node.kv, self.domain, count)
@@ -315,7 +330,7 @@
             return
         if stored.owners.epoch != (owners.epoch if owners else 0):
             return
-        targets = dict.fromkeys(wanted, self._own_record())
+        targets = dict.fromkeys(claimed_numbers, self._own_record())
         changed = await write_owners(node.kv, self.domain, stored, targets)
         if isinstance(changed, DomainShards):
             self.record_owners(changed)
@@ -324,7 +339,7 @@
             await asyncio.sleep(random.uniform(0, _RECONCILE_INTERVAL_SECONDS))
 
     async def _run_maintenance(self) -> None:
-        """Forgets what ended long ago and keeps the logs short."""
+        """Drops programs that ended long ago and compacts the logs."""
         while True:
             await asyncio.sleep(_MAINTENANCE_INTERVAL_SECONDS)
             for shard in list(self.node.shards.values()):
@@ -338,4 +353,8 @@
         result = "done" if done else "given_up"
         self.node.metrics.count("rattanmill_compactions", result=result)
         if done:
-            _log.info("Log of {}.{}: {} slots.", *shard.log.name, slots)
+            _log.info(
+                "Log of {}.{} compacted; it had {} slots.",
+                *shard.log.name,
+                slots,
+            )
--- a/libs/entry/src/rattanmill_entry/plan.py
+++ b/libs/entry/src/rattanmill_entry/plan.py
@@ -11,9 +11,9 @@
     Attributes:
         number: Turn number.
         chat: The caller's request.
-        messages: The whole conversation for the engine.
-        base: Messages kept of the conversation so far.
-        max_tokens: Most tokens of the answer.
+        messages: JSON of each message of the whole conversation.
+        base: Number of leading messages that are stored already.
+        max_tokens: Maximum tokens of the answer.
     """
 
     number: int
--- a/libs/entry/src/rattanmill_entry/route.py
+++ b/libs/entry/src/rattanmill_entry/route.py
@@ -1,8 +1,8 @@
-"""Finds the owner of a call and brings the call there, over at most one hop.
+"""Routes a call to the owner of its program, over at most one hop.
 
-The caller's request may reach any instance. A call that meets a shard without
-an owner waits for the takeover for a bounded time; it is repeated only where
-the owner recognises a repeat (a turn, an act, a question) or it has not run.
+A caller may send its request to any instance. A call to a shard without an
+owner waits for the takeover, for a bounded time. It is retried only if the
+owner recognises a repeat (a turn, an act, a read) or if it has not run.
 """
 
 import asyncio
@@ -28,7 +28,15 @@
 
 
 async def dispatch(node: Node, start: CallStart) -> Replies:
-    """Serves a call here or at its owner."""
+    """Serves a call here or at its owner.
+
+    Args:
+        node: The daemon's context.
+        start: The call.
+
+    Yields:
+        The replies to the caller.
+    """
     if not start.program:
         async for reply in serve_loose(node, start):
             yield reply
@@ -70,11 +78,11 @@
 
 
 async def _try_once(node: Node, start: CallStart) -> Replies:
-    """Makes one try at the owner that is known now."""
+    """Sends the call once to the currently known owner."""
     owned = parse_program_id(start.program)
     owner = owner_of(node, owned.domain, owned.shard) if owned else None
     if owned and owned.domain not in node.config.domains:
-        detail = "The program's id names no failure domain of ours."
+        detail = "The program's id names an unknown failure domain."
         yield refused(start, refuse(Reason.UNKNOWN_PROGRAM, detail))
     elif owned and (owned.domain, owned.shard) in node.shards:
         async for reply in serve(node, start):
@@ -93,7 +101,7 @@
 
 
 def owner_of(node: Node, domain: str, shard: int) -> InstanceRecord | None:
-    """Returns the last known record of a shard's owner."""
+    """Returns the last known record of a shard's owner, or None."""
     owners = node.live.shards.get(domain)
     if owners is None or shard >= len(owners.shards):
         return None
@@ -108,10 +116,10 @@
 
 
 def new_program_shard(node: Node) -> str:
-    """Returns a shard for a new program, best one owned by this instance.
+    """Returns a shard for a new program, if possible an own one.
 
-    Else one whose owner lives and stays: a shard that is handed over may have
-    no owner until its last call has ended.
+    Otherwise it is a shard whose owner is live and not shutting down: a shard
+    in handover may have no owner until its last call has ended.
     """
     domain = node.settings.domain
     own = [shard for name, shard in node.shards if name == domain]
@@ -122,7 +130,7 @@
 
 
 def _stable_shards(node: Node) -> list[int]:
-    """Shards of our domain whose owners are others that stay."""
+    """Shards of this domain whose owners are others and not shutting down."""
     owners = node.live.shards.get(node.settings.domain)
     others = staying(node)
     others.pop(node.settings.name, None)
@@ -136,8 +144,8 @@
 def shard_count(node: Node, domain: str) -> int:
     """Returns the number of a failure domain's shards.
 
-    It is fixed once the domain has owners; a configuration that names another
-    number later changes nothing.
+    It is fixed once the domain has owners; a later change of the
+    configuration has no effect.
     """
     owners = node.live.shards.get(domain)
     if owners and owners.shards:
@@ -147,10 +155,10 @@
 
 
 def act_shard(node: Node, workspace: str, key: str) -> str:
-    """Returns the shard of an act that belongs to no program.
+    """Returns the shard of an act without a program.
 
-    Every instance finds the same one, so that a repeat through another
-    instance meets the first try.
+    Every instance computes the same shard, so that a repeat through another
+    instance finds the first request.
     """
     digest = hashlib.sha256(f"{workspace}\n{key}".encode()).digest()
     number = int.from_bytes(digest[:8], "big")
--- a/libs/entry/src/rattanmill_entry/turns.py
+++ b/libs/entry/src/rattanmill_entry/turns.py
@@ -57,10 +57,19 @@
 async def run_turn(
     node: Node, shard: Shard, program: Program, start: CallStart
 ) -> Replies:
-    """Runs or repeats one turn of a program.
+    """Runs one turn of a program, or returns its stored answer.
 
-    The turn goes on when the caller has gone, so that the caller finds its
-    answer when it asks for the same turn again.
+    The turn continues after its caller disconnects, so that the caller gets
+    the answer when it requests the same turn again.
+
+    Args:
+        node: The daemon's context.
+        shard: Shard of the program.
+        program: The program.
+        start: The caller's request.
+
+    Yields:
+        The replies to the caller.
     """
     outbox = Outbox(start)
     node.spawn(_run_to_completion(node, shard, program, start, outbox))
@@ -119,7 +128,7 @@
         outbox.put(ownership_lost(start, Ran.NO))
         return
     if shard.log.is_full:
-        detail = "Too many turns wait for the store, which is away."
+        detail = "Too many turns wait for the store, which is unavailable."
         outbox.put(refused(start, refuse(Reason.STORE_UNAVAILABLE, detail)))
         return
     refusal = await _apply_receipts(node, shard, program, chat)
@@ -147,16 +156,20 @@
 async def _apply_receipts(
     node: Node, shard: Shard, program: Program, chat: ChatBody
 ) -> Refusal | None:
-    """Keeps turns that the caller held receipts for and we do not know."""
+    """Stores the turns of the caller's receipts that are not stored here.
+
+    Returns:
+        The refusal if a receipt cannot be applied, else None.
+    """
     for text in chat.receipts:
         turn = open_receipt(node.secret.secret, text)
         if turn is None or turn.program != program.made.program:
-            detail = "A receipt is not one of this program's."
+            detail = "A receipt does not belong to this program."
             return refuse(Reason.RECEIPT_INVALID, detail)
         turn_count = len(program.turns)
         if turn.turn <= turn_count:
             if program.turns[turn.turn - 1].record.chain != turn.chain:
-                detail = f"Turn {turn.turn} was kept with another answer."
+                detail = f"Turn {turn.turn} is stored with another answer."
                 return refuse(Reason.TURN_CONFLICT, detail)
             continue
         if turn.turn > turn_count + 1 or next_chain(program.chain, turn) != (
@@ -173,7 +186,7 @@
 def _plan_turn(
     program: Program, start: CallStart, chat: ChatBody
 ) -> Plan | Refusal:
-    """Returns what to run, or which stored turn to repeat."""
+    """Returns the turn to run, or the number of the stored turn to repeat."""
     if program.ended is not None:
         return refuse(Reason.PROGRAM_ENDED, "The program has ended.")
     turn_count = len(program.turns)
@@ -183,7 +196,7 @@
         return refuse(Reason.TURN_GAP, detail, expected_turn=turn_count + 1)
     if number <= turn_count:
         if program.turns[number - 1].record.digest != chat.digest:
-            detail = f"Turn {number} was kept with another request."
+            detail = f"Turn {number} is stored with another request."
             return refuse(
                 Reason.TURN_CONFLICT, detail, expected_turn=turn_count + 1
             )
@@ -265,7 +278,7 @@
     answer: AnswerBuilder,
     end: Finished,
 ) -> None:
-    """Keeps the turn, and only then lets the caller see its end."""
+    """Stores the turn, and only then sends the end of the answer."""
     if not node.lease.holds():
         outbox.put(ownership_lost(start, Ran.UNKNOWN))
         return
@@ -305,8 +318,8 @@
         model=plan.chat.model,
         prompt_tokens=usage.prompt_tokens,
         completion_tokens=usage.completion_tokens,
-        # An engine that reports more than it was allowed is at fault; the
-        # budget's promise is about what we let it spend.
+        # An engine that reports more tokens than it was allowed is faulty;
+        # the budget limits what this instance lets it spend.
         spent=min(spent, program.reserved),
         chain=b"",
     )
@@ -322,7 +335,7 @@
 def _stored_replies(
     program: Program, start: CallStart, number: int
 ) -> list[Reply]:
-    """Returns the answer of a turn that was kept before."""
+    """Returns the replies that repeat the answer of a stored turn."""
     turn = program.turns[number - 1].record
     end = Finished(
         turn.finish, Usage(turn.prompt_tokens, turn.completion_tokens)
--- a/libs/entry/src/rattanmill_entry/upstream.py
+++ b/libs/entry/src/rattanmill_entry/upstream.py
@@ -26,7 +26,7 @@
 
 
 class Delta(msgspec.Struct):
-    """Part of an answer as it arrives.
+    """A part of a streamed answer.
 
     Attributes:
         fields: The ``delta`` object of the first choice.
@@ -38,19 +38,24 @@
 
 
 class Finished(msgspec.Struct):
-    """The whole answer has arrived."""
+    """The whole answer has arrived.
+
+    Attributes:
+        finish_reason: Why the engine stopped.
+        usage: Tokens that the engine reported.
+    """
 
     finish_reason: str
     usage: Usage
 
 
 class Failed(msgspec.Struct):
-    """The attempt ended without a whole answer.
+    """The attempt ended without a complete response.
 
     Attributes:
         outcome: How it ended.
         status: HTTP status, or 0.
-        detail: What went wrong, or the endpoint's own body.
+        detail: Description of the error, or the body of the response.
     """
 
     outcome: Outcome
@@ -59,7 +64,7 @@
 
 
 class ServiceResponse(msgspec.Struct):
-    """Answer of a plain service."""
+    """Response of a plain service."""
 
     status: int
     headers: list[tuple[str, str]]
@@ -111,11 +116,18 @@
     headers: dict[str, str],
     read_timeout_seconds: float = _READ_TIMEOUT_SECONDS,
 ) -> AsyncIterator[Delta | Finished | Failed]:
-    """Runs a chat call; the last thing yielded is Finished or Failed.
+    """Runs a chat call; the last part is Finished or Failed.
 
-    An answer counts as whole only when it had a finish reason, a usage and
-    the ``[DONE]`` line: a connection that ends early looks like a short
-    answer otherwise.
+    An answer is complete only with a finish reason, a usage and the
+    ``[DONE]`` line. Otherwise a connection that ends early would look like a
+    short answer.
+
+    Args:
+        session: HTTP session.
+        url: Base URL of the engine.
+        body: JSON of the request.
+        headers: Headers of the request.
+        read_timeout_seconds: Longest time between two reads.
     """
     headers = {"Content-Type": "application/json", **headers}
     return _stream(
@@ -136,7 +148,14 @@
     request_id: str,
     read_timeout_seconds: float = _READ_TIMEOUT_SECONDS,
 ) -> AsyncIterator[Delta | Finished | Failed]:
-    """Reads the stream of a call again, from its first token."""
+    """Reads the stream of a call again from its first token.
+
+    Args:
+        session: HTTP session.
+        url: Base URL of the engine.
+        request_id: Id of the call at the engine.
+        read_timeout_seconds: Longest time between two reads.
+    """
     return _stream(
         session.get(
             f"{url}/v1/streams/{request_id}?from=0",
@@ -167,7 +186,7 @@
     except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as e:
         yield Failed(Outcome.NOT_CONNECTED, 0, str(e))
     except TimeoutError:
-        yield Failed(Outcome.TIMED_OUT, 0, "no token for too long")
+        yield Failed(Outcome.TIMED_OUT, 0, "timed out waiting for a token")
     except (aiohttp.ClientError, OSError, msgspec.DecodeError) as error:
         yield Failed(Outcome.BROKEN, 0, str(error) or "connection lost")
 
@@ -182,7 +201,9 @@
             if finish and usage:
                 yield Finished(finish, usage)
             else:
-                yield Failed(Outcome.BROKEN, 0, "no end of answer")
+                yield Failed(
+                    Outcome.BROKEN, 0, "no finish reason or usage in stream"
+                )
             return
         event = _EVENT_DECODER.decode(data)
         if event.usage:
@@ -192,14 +213,14 @@
             finish = choice.finish_reason or finish
             if choice.delta:
                 yield Delta(choice.delta, data)
-    yield Failed(Outcome.BROKEN, 0, "stream cut")
+    yield Failed(Outcome.BROKEN, 0, "stream ended early")
 
 
 async def _failed_response(answer: aiohttp.ClientResponse) -> Failed:
-    """Returns how an answer that is no stream counts.
+    """Returns the failure for a response with an error status.
 
-    Only ``draining`` says that nothing ran; an engine that fails for another
-    reason may have begun.
+    Only ``draining`` shows that nothing ran; an engine that fails for another
+    reason may have started the call.
     """
     detail = (await answer.content.read(_MAX_DETAIL_BYTES)).decode(
         errors="replace"
@@ -220,7 +241,7 @@
         rest += part
         *events, rest = rest.split(b"\n\n")
         if len(rest) > _MAX_EVENT_BYTES:
-            raise aiohttp.ClientPayloadError("event too long")
+            raise aiohttp.ClientPayloadError("event too large")
         for event in events:
             for line in event.split(b"\n"):
                 if line.startswith(b"data:"):
@@ -249,16 +270,16 @@
     Args:
         session: HTTP session.
         method: HTTP method.
-        url: Where to.
+        url: URL of the request.
         headers: Headers of the request.
         body: Body of the request.
         timeout_seconds: Limit of the whole call.
         no_resend: Stops aiohttp from sending the request a second time.
-        may_send: Asked once more when there is a connection; needs a session
-            with ``withholding_trace``.
+        may_send: Called once more when a connection has been made; needs a
+            session with ``send_guard_trace``.
     """
     timeout = aiohttp.ClientTimeout(
-        # To the library, 0 is no limit.
+        # aiohttp takes 0 for no limit.
         total=max(timeout_seconds, _MIN_TIMEOUT_SECONDS),
         sock_connect=_CONNECT_TIMEOUT_SECONDS,
     )
@@ -269,8 +290,8 @@
             headers=headers,
             data=body,
             timeout=timeout,
-            # A redirect is the service's answer, and the caller's to follow:
-            # the library would send a request again that has run already.
+            # A redirect is passed to the caller: aiohttp would follow it and
+            # send a request again that has run already.
             allow_redirects=False,
             skip_auto_headers=("Accept-Encoding", "Content-Type"),
             middlewares=(_no_resend_middleware(),) if no_resend else (),
@@ -290,24 +311,24 @@
     ) as e:
         return Failed(Outcome.NOT_CONNECTED, 0, str(e))
     except TimeoutError:
-        return Failed(Outcome.TIMED_OUT, 0, "no answer in time")
+        return Failed(Outcome.TIMED_OUT, 0, "timed out")
     except (aiohttp.ClientError, OSError) as error:
         return Failed(Outcome.BROKEN, 0, str(error) or "connection lost")
 
 
 class _WithheldError(aiohttp.ClientError):
-    """A connection was made, and the request must not be sent any more."""
+    """The request must not be sent any more on the new connection."""
 
 
 def send_guard_trace() -> aiohttp.TraceConfig:
-    """Returns a trace that asks ``may_send`` between connecting and sending.
+    """Returns a trace that calls ``may_send`` between connecting and sending.
 
-    Connecting takes time, and a stopped process does not notice it: the
-    kernel completes the connection meanwhile. A process that wakes up there
-    would send what its replacement has already called unknown.
+    A process may be paused while it connects; the kernel completes the
+    connection meanwhile. When the process is resumed, it would send a request
+    whose outcome its replacement has already reported as unknown.
     """
 
-    async def ask(
+    async def check_may_send(
         session: aiohttp.ClientSession,
         context: SimpleNamespace,
         params: aiohttp.TraceConnectionCreateEndParams,
@@ -317,16 +338,16 @@
             raise _WithheldError("not sent")
 
     trace = aiohttp.TraceConfig()
-    trace.on_connection_create_end.append(ask)
+    trace.on_connection_create_end.append(check_may_send)
     return trace
 
 
 def _no_resend_middleware() -> aiohttp.ClientMiddlewareType:
-    """Returns a middleware that stops the library's own second attempt.
+    """Returns a middleware that prevents retries by aiohttp itself.
 
-    On a connection that breaks before the answer, the library sends PUT,
-    DELETE and other methods again, also on a connection that is new. A
-    service would show two runs of one call.
+    If a connection breaks before the response, aiohttp sends PUT, DELETE and
+    other methods again, even if the connection was new. The service would run
+    one call twice.
     """
     sent = False
 
@@ -348,7 +369,7 @@
     async for part in answer.content.iter_any():
         size += len(part)
         if size > _MAX_ANSWER_BYTES:
-            raise aiohttp.ClientPayloadError("answer too long")
+            raise aiohttp.ClientPayloadError("response too large")
         parts.append(part)
     return b"".join(parts)
 
@@ -356,7 +377,7 @@
 async def cancel_chat(
     session: aiohttp.ClientSession, url: str, request_id: str
 ) -> None:
-    """Tells an engine to stop a call nobody waits for."""
+    """Cancels a call at an engine that nothing waits for any more."""
     timeout = aiohttp.ClientTimeout(total=_CONNECT_TIMEOUT_SECONDS)
     with contextlib.suppress(
         aiohttp.ClientError, OSError, asyncio.TimeoutError
