--- a/libs/entry/src/rattanmill_entry/memory.py
+++ b/libs/entry/src/rattanmill_entry/memory.py
@@ -290,4 +290,4 @@
             return None
 
     def _count(self, outcome: str) -> None:
-        self.node.metrics.count("rattanmill_pins", outcome=outcome)
+        self.node.metrics.count("rattanmill_pins", order=outcome)
