--- a/tests/features/config_spread.feature
+++ b/tests/features/config_spread.feature
@@ -16,7 +16,7 @@
     that it failed, nor find it stored twice.
 
     Given a system of three failure domains
-    When answers to writes of "rm/live/config" are lost 1 times
+    When responses to writes of "rm/live/config" are lost 1 times
     And an operator applies a change through instance 2
     Then the change is accepted
     And every instance has the accepted change in force
--- a/tests/features/history.feature
+++ b/tests/features/history.feature
@@ -1,10 +1,10 @@
 Feature: History of programs
   A program's history is never lost and never mixed with another's.
 
-  Scenario: The owner dies before its commit
-    The key-value service is away, and callers are given receipts. Then the
-    owner dies, and what only it knew is gone. The next owner knows nothing
-    of the turns until the caller brings the receipts.
+  Scenario: The owner crashes before its commit
+    The key-value service is unavailable, and callers get receipts. Then the
+    owner crashes, and the turns that only it stored are lost. The next owner
+    does not know them until the caller sends the receipts.
 
     Given a system of three failure domains
     And a program whose first turn is kept
@@ -17,22 +17,23 @@
     Then the answer has status 200
     And every living instance shows turns 1, 2, 3, 4, 5
 
-  Scenario: The owner dies while its commit is under way
-    The write took effect, its answer was lost, and the owner dies before it
-    can ask. The next owner must find the turn and give its answer.
+  Scenario: The owner crashes during its commit
+    The write took effect, its response was lost, and the owner crashes before
+    it can read the result. The next owner must find the turn and return its
+    answer.
 
     Given a system of three failure domains
     And a program whose first turn is kept
-    When answers to writes of "rm/log" are lost 20 times
+    When responses to writes of "rm/log" are lost 20 times
     And turn 2 "Shorter." is sent in the background through another domain
-    And an answer was lost
+    And a response was lost
     And the owner dies
     Then the call under way gets the kept answer of turn 2
     And every living instance shows turns 1, 2
 
-  Scenario: The owner dies before its commit takes effect
-    The service is slow and the owner dies before the write is done. Nobody
-    was told the answer; the next owner runs the turn again.
+  Scenario: The owner crashes before its commit takes effect
+    The key-value service is slow, and the owner crashes before the write is
+    done. Nobody received the answer; the next owner runs the turn again.
 
     Given a system of three failure domains
     And a program whose first turn is kept
@@ -40,13 +41,14 @@
     And turn 2 "Shorter." is sent in the background through another domain
     And the engine has finished it
     And the owner dies
-    And the key-value service hurries again
+    And the key-value service is no longer slow
     Then the call under way gets the kept answer of turn 2
     And every living instance shows turns 1, 2
 
-  Scenario: The service is away for many turns and comes back
-    Callers go on with receipts. When the service is back the owner files what
-    it kept, and the history is whole even if the owner then dies.
+  Scenario: The service is unavailable for many turns and returns
+    Callers continue with receipts. When the service is available again, the
+    owner commits the turns that it holds, and the history is complete even if
+    the owner crashes afterwards.
 
     Given a system of three failure domains
     And a program whose first turn is kept
@@ -60,21 +62,21 @@
     When the owner dies
     Then in the end every living instance shows turns 1, 2, 3, 4, 5, 6, 7, 8, 9, 10
 
-  Scenario: Answers to commits are lost again and again
-    Each commit takes effect and its answer is lost. Written again under
-    another number, a turn would stand twice in the history.
+  Scenario: Responses to commits are lost repeatedly
+    Each commit takes effect and its response is lost. If it were written
+    again to another slot, a turn would be in the history twice.
 
     Given a system of three failure domains
     And a program whose first turn is kept
     And no receipts so far
-    When answers to writes of "rm/log" are lost 6 times
+    When responses to writes of "rm/log" are lost 6 times
     And 4 turns are sent over 1 lease times through its domain
     And the owner dies
     Then in the end every living instance shows turns 1, 2, 3, 4, 5
 
-  Scenario: Two programs with the same words
-    Two households ask the same. Each must keep its own history, and a receipt
-    of one must not get into the other's.
+  Scenario: Two programs with the same messages
+    Two customers send the same messages. Each program must keep its own
+    history, and a receipt of one must not be accepted for the other.
 
     Given a system of three failure domains
     And a program whose first turn is kept
@@ -86,10 +88,10 @@
     Then the answer has status 422
     And the refusal is "receipt_invalid" and "no"
 
-  Scenario: Receipts that are not as they were given
-    A caller's store was damaged, or somebody tries to change a history. The
-    program must go on as it was kept and say what is wrong; whole receipts
-    are taken, however often they are brought.
+  Scenario: Missing, altered and duplicate receipts
+    A caller's storage was damaged, or somebody tries to change a history. The
+    program must keep its stored history and report the error; valid receipts
+    are accepted, however often they are sent.
 
     Given a system of three failure domains
     And a program whose first turn is kept
@@ -109,26 +111,27 @@
     Then the answer has status 200
     And every living instance shows turns 1, 2, 3, 4, 5
 
-  Scenario: A late segment of an owner that was replaced
-    An owner's write was on its way when it was replaced, and it arrives after
-    the new owner's first. Nobody was told that it was kept, so it must not
-    count, and the new owner must not take it for a successor's.
+  Scenario: A late segment of a replaced owner
+    An owner's write was in flight when the owner was replaced, and arrives
+    after the new owner's first write. No caller was told that it is stored,
+    so it must not count, and the new owner must not take it for a write of
+    its successor.
 
     Given a system of three failure domains
     And a program whose first turn is kept
-    When a segment of an older epoch with turn 2 stands in the next slot
+    When a segment of an older epoch with turn 2 is in the next slot
     And turn 2 "Shorter." is sent through a living instance
     And the owner dies
-    Then the other call's answer is not in the history
+    Then the late segment's answer is not in the history
     And in the end every living instance shows turns 1, 2
 
-  Scenario: A turn longer than a value of the service
-    A reconciliation sends a document of more than a megabyte. The commit is
-    refused for its size for ever, and with it every later one of the shard.
+  Scenario: A turn that is larger than a value of the service
+    A turn has a document of more than a megabyte. Its commit is refused for
+    its size each time, and would block all later commits of the shard.
 
     Given a system of three failure domains
     And a program whose first turn is kept
-    When turn 2 with 1500000 letters is sent through a living instance
+    When turn 2 with 1500000 characters is sent through a living instance
     Then the answer has status 200
     And the answer has no receipt
     When the owner dies
--- a/tests/features/not_run.feature
+++ b/tests/features/not_run.feature
@@ -1,14 +1,14 @@
-Feature: "Not run" means not run
+Feature: A refusal with ran "no" means that the call did not run
   A refusal with ran "no" tells the caller that sending the request again
-  cannot run it twice. Each such refusal is held against what the stand-ins
-  counted.
+  cannot run it twice. Each such refusal is compared with the calls that the
+  stand-ins counted.
 
   Background:
     Given a system for refusals
 
   Scenario Outline: A refused call reached no endpoint
-    A call is refused by what the instance knows already. If it had reached an
-    endpoint all the same, a caller that sends it again would pay twice.
+    The instance refuses a call based on its own state. If the call had
+    reached an endpoint anyway, a caller that sends it again would pay twice.
 
     When a call is made that is <case>
     Then it is refused with reason "<reason>" and ran "no"
@@ -32,17 +32,17 @@
       | with a forged receipt       | receipt_invalid   |
       | too large                   | body_too_large    |
       | for a draining engine       | no_endpoint       |
-      | for an engine that is gone  | no_endpoint       |
-      | for a service that is gone  | no_endpoint       |
+      | for an engine that is down  | no_endpoint       |
+      | for a service that is down  | no_endpoint       |
       | an act while the KV is down | store_unavailable |
       | a turn while the KV is down | budget_unreserved |
 
-  Scenario Outline: The endpoint died with the call, and nobody takes it up
-    The endpoint dies while it runs the call, and the next attempt finds no
-    endpoint. The last attempt was never sent, but the first may have run; a
-    caller told "no" would send it again.
+  Scenario Outline: The endpoint crashed with the call, and no other is available
+    The endpoint crashes while it runs the call, and the retry finds no
+    endpoint. The retry was never sent, but the first attempt may have run; a
+    caller that got "no" would send it again.
 
-    When a <kind> call runs at an endpoint that dies
+    When a <kind> call runs at an endpoint that is killed
     Then it is refused with ran "unknown"
 
     Examples:
@@ -51,9 +51,9 @@
       | turn    |
       | service |
 
-  Scenario: The owner and the endpoint died with the call
-    The owner dies while a turn runs, and the engine, too. The next owner
-    finds no engine and never sent the turn; but the owner before it did.
+  Scenario: The owner and the endpoint crashed with the call
+    The owner and the engine crash while a turn runs. The next owner finds no
+    engine and never sent the turn, but the previous owner did.
 
-    When a turn runs while its owner and its engine die
+    When a turn runs while its owner and its engine are killed
     Then it is refused with ran "unknown"
--- a/tests/features/steps/acts.py
+++ b/tests/features/steps/acts.py
@@ -15,8 +15,8 @@
     services=[ServiceSpec("office-1"), ServiceSpec("office-2")],
     lease_seconds=1.5,
 )
-_OFFICES = ("office-1", "office-2")
-_WELL = {
+_ENDPOINTS = ("office-1", "office-2")
+_NO_FAULTS = {
     "slow_seconds": 0.0,
     "hang": False,
     "lose_answers": 0,
@@ -25,7 +25,7 @@
     "fencing": False,
     "redirect_to": "",
 }
-_KV_WELL = {
+_NO_KV_FAULTS = {
     "down": False,
     "slow_seconds": 0.0,
     "lose_answers": 0,
@@ -34,30 +34,30 @@
 }
 
 
-def faults(context, **changes):
-    for office in _OFFICES:
-        if context.system.processes[office].alive:
-            context.system.standins[office].faults(**changes)
+def set_faults(context, **changes):
+    for endpoint in _ENDPOINTS:
+        if context.system.processes[endpoint].alive:
+            context.system.standins[endpoint].faults(**changes)
 
 
-def runs(context, key):
-    total = context.runs_of_the_dead.get(key, 0)
-    for office in _OFFICES:
-        if context.system.processes[office].alive:
-            answer = context.system.standins[office].request("GET", "/runs")
+def count_runs(context, key):
+    total = context.runs_before_kill.get(key, 0)
+    for endpoint in _ENDPOINTS:
+        if context.system.processes[endpoint].alive:
+            answer = context.system.standins[endpoint].request("GET", "/runs")
             total += answer.json.get(key, 0)
     return total
 
 
-def key_of(context, name):
+def idempotency_key(context, name):
     return f"{name}-{context.tag}"
 
 
-def act(context, client, name, **options):
-    """Sends an act of the scenario's program and notes its answer."""
+def send_act(context, client, name, **options):
+    """Sends an act of the scenario's program and returns the response."""
     options.setdefault("program", context.program)
     headers = {
-        "Idempotency-Key": key_of(context, name),
+        "Idempotency-Key": idempotency_key(context, name),
         "Rattanmill-Non-Idempotent": "true",
         **options.get("headers", {}),
     }
@@ -71,12 +71,12 @@
     )
 
 
-def send(context, client, name, **options):
-    context.act_answers.append(act(context, client, name, **options))
+def send_and_record(context, client, name, **options):
+    context.act_responses.append(send_act(context, client, name, **options))
 
 
-def others(context):
-    """Clients of the instances that run and do not own the program."""
+def other_clients(context):
+    """Returns the clients of running instances that do not own the program."""
     return [
         i.client
         for i in context.system.instances
@@ -84,18 +84,18 @@
     ]
 
 
-def revive(context):
-    """Starts again what a scenario killed."""
-    for office in _OFFICES:
-        if not context.system.processes[office].alive:
-            context.system.start_standin(office, "", "standins.service")
+def restore(context):
+    """Restarts what a scenario killed, and clears all faults."""
+    for endpoint in _ENDPOINTS:
+        if not context.system.processes[endpoint].alive:
+            context.system.start_standin(endpoint, "", "standins.service")
     for instance in context.system.instances:
         if instance.process.alive:
             instance.process.resume()
         else:
             context.system.start_instance(instance)
-    context.system.standins["kv"].faults(**_KV_WELL)
-    faults(context, **_WELL)
+    context.system.standins["kv"].faults(**_NO_KV_FAULTS)
+    set_faults(context, **_NO_FAULTS)
     context.system.wait_ready()
     context.system.wait_open()
 
@@ -103,10 +103,10 @@
 @given("a system for acts")
 def step_system(context):
     start(context, _LAYOUT)
-    revive(context)
+    restore(context)
     context.tag = random_text(4)
-    context.act_answers = []
-    context.runs_of_the_dead = {}
+    context.act_responses = []
+    context.runs_before_kill = {}
     context.pool = context.scenario_stack.enter_context(
         concurrent.futures.ThreadPoolExecutor(8)
     )
@@ -114,64 +114,64 @@
     context.owner = context.system.owner_of(context.program)
 
 
-@given("the offices take {seconds:f} seconds")
+@given("the endpoints take {seconds:f} seconds per call")
 def step_slow(context, seconds):
-    faults(context, slow_seconds=seconds)
+    set_faults(context, slow_seconds=seconds)
 
 
-@given("the offices hang")
+@given("the endpoints hang")
 def step_hang(context):
-    faults(context, hang=True)
+    set_faults(context, hang=True)
 
 
-@when("the offices are well again")
-def step_well(context):
-    faults(context, **_WELL)
+@when("the endpoints work again")
+def step_work_again(context):
+    set_faults(context, **_NO_FAULTS)
 
 
-@given("the offices have the fault {fault} for {count:d} calls")
+@given("the endpoints have the fault {fault} for {count:d} calls")
 def step_fault(context, fault, count):
-    # Which office is chosen is not at issue, so both have the fault.
-    faults(context, **{fault: count})
+    # Any endpoint may be chosen, so all have the fault.
+    set_faults(context, **{fault: count})
 
 
-@given("the offices redirect to one another")
+@given("the endpoints redirect to each other")
 def step_redirect(context):
-    for office, other in zip(_OFFICES, reversed(_OFFICES), strict=True):
+    for endpoint, other in zip(_ENDPOINTS, reversed(_ENDPOINTS), strict=True):
         address = context.system.standins[other].address
-        context.system.standins[office].faults(
+        context.system.standins[endpoint].faults(
             redirect_to=f"http://{address}/deposits"
         )
 
 
-@given("the offices {check} fencing numbers")
+@given("the endpoints {check} fencing tokens")
 def step_fencing(context, check):
-    faults(context, fencing=check == "check")
+    set_faults(context, fencing=check == "check")
 
 
-@given("{office} is gone")
-def step_gone(context, office):
-    known = context.system.standins[office].request("GET", "/runs").json
+@given('endpoint "{endpoint}" is down')
+def step_down(context, endpoint):
+    known = context.system.standins[endpoint].request("GET", "/runs").json
     for key, count in known.items():
-        before = context.runs_of_the_dead.get(key, 0)
-        context.runs_of_the_dead[key] = before + count
-    context.system.processes[office].kill()
+        before = context.runs_before_kill.get(key, 0)
+        context.runs_before_kill[key] = before + count
+    context.system.processes[endpoint].kill()
 
 
-@given("no office takes connections")
-def step_deaf(context):
+@given("no endpoint accepts connections")
+def step_no_connections(context):
     context.listeners = context.scenario_stack.enter_context(
         contextlib.ExitStack()
     )
-    for office in _OFFICES:
-        step_gone(context, office)
-        address = context.system.standins[office].address
+    for endpoint in _ENDPOINTS:
+        step_down(context, endpoint)
+        address = context.system.standins[endpoint].address
         context.listeners.enter_context(unresponsive_listener(address))
 
 
-@when("the owner of the program is connecting to an office")
+@when("the owner of the program is connecting to an endpoint")
 def step_connecting(context):
-    # The instance counts a call at an endpoint once it has chosen one.
+    # An instance counts a call in flight once it has chosen an endpoint.
     def connecting():
         answer = context.owner.client.request("GET", "/v1/admin/endpoints")
         return sum(e["in_flight"] for e in answer.json)
@@ -179,37 +179,37 @@
     wait_until(connecting, "the owner is connecting")
 
 
-@when("the offices take connections again")
-def step_hearing(context):
+@when("the endpoints accept connections again")
+def step_accept_connections(context):
     context.listeners.close()
-    step_offices_back(context)
+    step_endpoints_restarted(context)
 
 
-@when("the offices are back")
-def step_offices_back(context):
-    for office in _OFFICES:
-        context.system.start_standin(office, "", "standins.service")
+@when("the endpoints are restarted")
+def step_endpoints_restarted(context):
+    for endpoint in _ENDPOINTS:
+        context.system.start_standin(endpoint, "", "standins.service")
 
 
-@given("the key-value service goes away")
-@when("the key-value service goes away")
-def step_kv_away(context):
+@given("the key-value service is unavailable")
+@when("the key-value service is unavailable")
+def step_kv_unavailable(context):
     context.system.standins["kv"].faults(down=True)
 
 
-@when("the key-value service is back")
+@when("the key-value service is available again")
 @when("the key-value service is fast again")
 def step_kv_back(context):
-    context.system.standins["kv"].faults(**_KV_WELL)
+    context.system.standins["kv"].faults(**_NO_KV_FAULTS)
 
 
-@given("writes of the log take effect without an answer")
+@given("responses to log writes are lost")
 def step_lost_log_writes(context):
     kv = context.system.standins["kv"]
     kv.faults(lose_answers=100, lose_match="/log/")
 
 
-@given("writes of the key-value service take {seconds:f} seconds")
+@given("writes to the key-value service take {seconds:f} seconds")
 def step_slow_kv(context, seconds):
     kv = context.system.standins["kv"]
     context.log_writes = kv.stats().get("log_writes_begun", 0)
@@ -221,17 +221,17 @@
     kv = context.system.standins["kv"]
     wait_until(
         lambda: kv.stats().get("log_writes_begun", 0) > context.log_writes,
-        "the intent is on its way",
+        "the intent has reached the key-value service",
     )
 
 
-@when("the owner of the program is frozen")
-def step_freeze(context):
+@when("the owner of the program is paused")
+def step_pause(context):
     context.owner.process.pause()
 
 
-@when("the frozen owner wakes up")
-def step_wake(context):
+@when("the paused owner is resumed")
+def step_resume(context):
     context.owner.process.resume()
 
 
@@ -246,43 +246,44 @@
     assert context.clients[0].request("DELETE", path).status == 200
 
 
-@when('act "{name}" is started through instance {index:d} of the program')
+@when('act "{name}" is started through non-owner {index:d}')
 def step_started(context, name, index):
-    # Through another instance, so that the caller outlives the owner.
-    client = others(context)[index]
-    context.started = context.pool.submit(act, context, client, name)
+    # Through another instance, which stays up when the owner is killed.
+    client = other_clients(context)[index]
+    context.started = context.pool.submit(send_act, context, client, name)
 
 
-@when('act "{name}" has reached an office')
+@when('act "{name}" has reached an endpoint')
 def step_reached(context, name):
     wait_until(
-        lambda: runs(context, key_of(context, name)), "the act is running"
+        lambda: count_runs(context, idempotency_key(context, name)),
+        "the act is running",
     )
 
 
-@when('act "{name}" is repeated through instance {index:d} of the program')
+@when('act "{name}" is repeated through non-owner {index:d}')
 def step_repeated(context, name, index):
-    client = others(context)[index]
-    again = context.pool.submit(act, context, client, name)
-    context.act_answers = [context.started.result(), again.result()]
+    client = other_clients(context)[index]
+    again = context.pool.submit(send_act, context, client, name)
+    context.act_responses = [context.started.result(), again.result()]
 
 
-@when('act "{name}" goes through instance {index:d}')
+@when('act "{name}" is sent through instance {index:d}')
 def step_sent(context, name, index):
-    send(context, context.clients[index], name)
+    send_and_record(context, context.clients[index], name)
 
 
-@when('act "{name}" goes through another instance')
+@when('act "{name}" is sent through another instance')
 def step_sent_elsewhere(context, name):
-    send(context, others(context)[0], name)
+    send_and_record(context, other_clients(context)[0], name)
 
 
 @when('act "{name}" is sent as PUT')
 def step_sent_put(context, name):
-    send(context, context.owner.client, name, method="PUT")
+    send_and_record(context, context.owner.client, name, method="PUT")
 
 
-@given("each office has answered an idempotent PUT and a PUT act")
+@given("each endpoint has answered an idempotent PUT and a PUT act")
 def step_used_connections(context):
     client = context.owner.client
     for number in range(4):
@@ -290,7 +291,7 @@
             "PUT", "/v1/services/index-office/deposits", b"x"
         )
         assert answer.status == 200, answer
-        answer = act(context, client, f"used-{number}", method="PUT")
+        answer = send_act(context, client, f"used-{number}", method="PUT")
         assert answer.status == 200, answer
 
 
@@ -298,18 +299,18 @@
 def step_deadline(context, name, seconds):
     headers = {"Rattanmill-Deadline": str(seconds)}
     client = Client(context.owner.http, seconds + 3)
-    send(context, client, name, headers=headers)
+    send_and_record(context, client, name, headers=headers)
 
 
 @when('act "{name}" is sent with a body of {size:d} bytes')
 def step_long(context, name, size):
-    send(context, context.clients[0], name, body=b"x" * size)
+    send_and_record(context, context.clients[0], name, body=b"x" * size)
 
 
 @when('act "{name}" is sent without a program through each instance')
-def step_loose(context, name):
+def step_no_program(context, name):
     for client in context.clients:
-        send(context, client, name, program="")
+        send_and_record(context, client, name, program="")
 
 
 @when('{count:d} keys are each used by workspaces "{one}" and "{other}"')
@@ -319,7 +320,7 @@
         for workspace in (one, other):
             headers = {"Rattanmill-Workspace": workspace}
             body = workspace.encode()
-            send(
+            send_and_record(
                 context,
                 context.clients[0],
                 name,
@@ -329,47 +330,47 @@
             )
 
 
-@when('act "{first}" to "{last}" are sent')
+@when('acts "{first}" to "{last}" are sent')
 def step_several(context, first, last):
     for number in range(1, int(last.rsplit("-", 1)[1]) + 1):
         name = f"{first.rsplit('-', 1)[0]}-{number}"
-        send(context, context.clients[number % 3], name)
+        send_and_record(context, context.clients[number % 3], name)
 
 
 @when('act "{name}" is sent until it is not refused with ran "{ran}"')
 def step_until(context, name, ran):
     def answered():
-        answer = act(context, context.clients[0], name)
+        answer = send_act(context, context.clients[0], name)
         return answer.status == 200 or answer.json["ran"] != ran
 
-    wait_until(answered, "the act is taken")
+    wait_until(answered, "the act is accepted")
 
 
-@then("act answer {number:d} has status {status:d}")
+@then("act response {number:d} has status {status:d}")
 def step_status(context, number, status):
-    answer = context.act_answers[number - 1]
+    answer = context.act_responses[number - 1]
     assert answer.status == status, answer
 
 
-@then("all act answers have status {status:d}")
+@then("all act responses have status {status:d}")
 def step_all_status(context, status):
-    wrong = [a for a in context.act_answers if a.status != status]
+    wrong = [a for a in context.act_responses if a.status != status]
     assert not wrong, wrong[:3]
 
 
-@then('act answer {number:d} is refused with ran "{ran}"')
+@then('act response {number:d} is refused with ran "{ran}"')
 def step_refused(context, number, ran):
-    answer = context.act_answers[number - 1]
+    answer = context.act_responses[number - 1]
     assert answer.status >= 400, answer
     assert answer.json["ran"] == ran, answer
 
 
-@then("act answer {number:d} says when to come back")
+@then("act response {number:d} has a Retry-After header")
 def step_retry_after(context, number):
-    assert "retry-after" in context.act_answers[number - 1].headers
+    assert "retry-after" in context.act_responses[number - 1].headers
 
 
-@then("act answer {number:d} came before the started act's")
+@then("act response {number:d} arrived before that of the started act")
 def step_before(context, number):
     assert not context.started.done(), context.started.result()
     assert context.started.result().status == 200
@@ -390,11 +391,14 @@
 
 @then('act "{name}" ran {count:d} times')
 def step_ran(context, name, count):
-    found = runs(context, key_of(context, name))
+    found = count_runs(context, idempotency_key(context, name))
     assert found == count, found
 
 
 @then("each act ran {count:d} times")
 def step_each_ran(context, count):
-    found = [runs(context, key_of(context, name)) for name in context.keys]
+    found = [
+        count_runs(context, idempotency_key(context, name))
+        for name in context.keys
+    ]
     assert found == [count] * len(context.keys), found
--- a/tests/features/steps/answers.py
+++ b/tests/features/steps/answers.py
@@ -1,4 +1,4 @@
-"""Steps that check answers against what the engines must have made."""
+"""Steps that compare answers with what the engines must have generated."""
 
 import concurrent.futures
 import http.client
@@ -27,8 +27,8 @@
     engines=[EngineSpec(n, options={"decode": 8000.0}) for n in _ENGINES],
     lease_seconds=1.0,
 )
-# Slow enough for something to happen in the middle of a stream.
-_WELL = {"cut_after_tokens": 0, "variant": "", "slow_factor": 16.0}
+# Slow enough that faults can be caused in the middle of a stream.
+_NO_FAULTS = {"cut_after_tokens": 0, "variant": "", "slow_factor": 16.0}
 _EXAMPLES = settings(max_examples=200, derandomize=True, deadline=None)
 
 
@@ -40,12 +40,12 @@
     ]
 
 
-def calls(context):
+def count_calls(context):
     return sum(e.stats().get("calls", 0) for e in engines(context))
 
 
-def expected(messages, tokens):
-    """Returns the text that the stand-in engine makes for a prompt."""
+def expected_text(messages, tokens):
+    """Returns the text that the stand-in engine generates for a prompt."""
     seed = message_blocks("commentary", messages)[-1][0]
     return "".join(f"{seed[:6]}-{i} " for i in range(tokens))
 
@@ -57,7 +57,7 @@
     for name in _ENGINES:
         if not system.processes[name].alive:
             system.restart_engine(name)
-        system.standins[name].faults(**_WELL)
+        system.standins[name].faults(**_NO_FAULTS)
     for instance in system.instances:
         if not instance.process.alive:
             system.start_instance(instance)
@@ -68,7 +68,7 @@
     context.other = next(
         i for i in system.instances if i.name != context.owner.name
     )
-    context.before = calls(context)
+    context.before = count_calls(context)
     context.pool = context.scenario_stack.enter_context(
         concurrent.futures.ThreadPoolExecutor(64)
     )
@@ -80,13 +80,13 @@
         engine.faults(cut_after_tokens=tokens)
 
 
-@given("engines that answer differently")
+@given("engines whose answers differ")
 def step_differ(context):
     for name in _ENGINES:
         context.system.standins[name].faults(variant=name[-1])
 
 
-def request_of(context, text, tokens, stream, turn=0, program=""):
+def build_request(context, text, tokens, stream, turn=0, program=""):
     headers = {
         "Content-Type": "application/json",
         "Rattanmill-Program": program or context.program,
@@ -104,18 +104,18 @@
     return json.dumps(body).encode(), headers
 
 
-class Reader:
-    """A caller that reads a streamed answer bit by bit."""
+class StreamReader:
+    """A caller that reads a streamed answer line by line."""
 
     def __init__(self, context, instance, tokens):
-        body, headers = request_of(context, "stream", tokens, True, 1)
+        body, headers = build_request(context, "stream", tokens, True, 1)
         self.connection = http.client.HTTPConnection(instance.http, timeout=60)
         self.connection.request("POST", "/v1/chat/completions", body, headers)
         self.answer = self.connection.getresponse()
         self.body = self.answer.readline()
 
-    def rest(self):
-        """Reads to the end, whichever that is."""
+    def read_rest(self):
+        """Reads until the stream ends or breaks."""
         try:
             while line := self.answer.readline():
                 self.body += line
@@ -125,7 +125,7 @@
 
 
 def busy_engine(context):
-    """Returns the name of the engine that runs a call."""
+    """Returns the name of an engine that runs a call, or None."""
     return next(
         (
             name
@@ -140,85 +140,87 @@
 
 @when("a turn of {tokens:d} tokens is streamed")
 def step_streamed(context, tokens):
-    context.answer = Reader(context, context.other, tokens).rest()
+    context.answer = StreamReader(context, context.other, tokens).read_rest()
 
 
-@when("a turn of {tokens:d} tokens is streamed and its engine dies meanwhile")
-def step_streamed_dies(context, tokens):
-    reader = Reader(context, context.other, tokens)
+@when(
+    "a turn of {tokens:d} tokens is streamed and its engine is killed meanwhile"
+)
+def step_streamed_engine_killed(context, tokens):
+    reader = StreamReader(context, context.other, tokens)
     name = wait_until(lambda: busy_engine(context), "an engine is busy")
     context.system.processes[name].kill()
     context.tokens = tokens
-    context.answer = reader.rest()
+    context.answer = reader.read_rest()
 
 
-@when("a turn of {tokens:d} tokens is sent and its engine dies meanwhile")
-def step_sent_dies(context, tokens):
+@when("a turn of {tokens:d} tokens is sent and its engine is killed meanwhile")
+def step_sent_engine_killed(context, tokens):
     context.tokens = tokens
-    call = context.pool.submit(ask, context, tokens)
+    call = context.pool.submit(send_request, context, tokens)
     name = wait_until(lambda: busy_engine(context), "an engine is busy")
     context.system.processes[name].kill()
     context.answer = call.result()
 
 
-def ask(context, tokens):
-    body, headers = request_of(context, "stream", tokens, False, 1)
+def send_request(context, tokens):
+    body, headers = build_request(context, "stream", tokens, False, 1)
     return context.other.client.request(
         "POST", "/v1/chat/completions", body, headers
     )
 
 
-@when("a caller leaves in the middle of a streamed turn of {tokens:d} tokens")
-def step_leaves(context, tokens):
+@when("a caller disconnects during a streamed turn of {tokens:d} tokens")
+def step_disconnects(context, tokens):
     context.tokens = tokens
-    reader = Reader(context, context.other, tokens)
+    reader = StreamReader(context, context.other, tokens)
     assert reader.body
     reader.connection.close()
 
 
-@when("the same turn is asked for again")
-def step_again(context):
-    context.answer = ask(context, context.tokens)
+@when("the same turn is requested again")
+def step_same_turn(context):
+    context.answer = send_request(context, context.tokens)
 
 
 @when(
-    "the owner dies while a turn of {tokens:d} tokens is streamed through"
-    " another"
+    "the owner is killed while it streams {tokens:d} tokens through another"
+    " instance"
 )
-def step_owner_dies(context, tokens):
+def step_owner_killed(context, tokens):
     context.tokens = tokens
-    reader = Reader(context, context.other, tokens)
+    reader = StreamReader(context, context.other, tokens)
     context.owner.process.kill()
-    context.answer = reader.rest()
+    context.answer = reader.read_rest()
 
 
 @when("a caller stops reading a streamed turn of {tokens:d} tokens")
 def step_slow_reader(context, tokens):
     for engine in engines(context):
         engine.faults(slow_factor=1.0)
-    context.reader = Reader(context, context.other, tokens)
+    context.reader = StreamReader(context, context.other, tokens)
 
 
-@then("the turn is kept while the caller does not read")
-def step_kept(context):
+@then("the turn is stored while the caller does not read")
+def step_stored(context):
     path = f"/v1/programs/{context.program}"
     wait_until(
         lambda: context.other.client.request("GET", path).json["turns"] == 1,
-        "the turn is kept",
+        "the turn is stored",
     )
 
 
-@then("the caller that reads on gets the whole answer of {tokens:d} tokens")
-def step_reads_on(context, tokens):
-    context.answer = context.reader.rest()
-    step_whole(context, tokens)
+@then("the caller continues and gets the complete answer of {tokens:d} tokens")
+def step_continues_reading(context, tokens):
+    context.answer = context.reader.read_rest()
+    step_complete(context, tokens)
 
 
-@then("the stream is the whole answer of {tokens:d} tokens")
-def step_whole(context, tokens):
+@then("the stream is the complete answer of {tokens:d} tokens")
+def step_complete(context, tokens):
     messages = [{"role": "user", "content": "stream"}]
     assert context.answer.events[-1] == "[DONE]", context.answer.events[-1]
-    assert context.answer.text == expected(messages, tokens)
+    assert context.answer.text == expected_text(messages, tokens)
 
 
 @then("an engine was asked to resume")
@@ -226,12 +228,12 @@
     assert sum(e.stats().get("resumed", 0) for e in engines(context)) > 0
 
 
-@then("the engines took {count:d} calls")
+@then("the engines received {count:d} calls")
 def step_calls(context, count):
-    assert calls(context) - context.before == count, calls(context)
+    assert count_calls(context) - context.before == count, count_calls(context)
 
 
-@then("the stream ends with an error and cannot pass for whole")
+@then("the stream ends with an error and is recognizably incomplete")
 def step_cut_short(context):
     events = context.answer.events
     assert len(events) > 1, events
@@ -241,7 +243,7 @@
     assert all(e["choices"][0]["finish_reason"] is None for e in ends)
 
 
-@then("the answer is whole and from one engine")
+@then("the answer is complete and from one engine")
 def step_one_engine(context):
     assert context.answer.status == 200, context.answer
     seed = message_blocks(
@@ -254,7 +256,7 @@
 
 
 def read_answer(stream):
-    """Reads one answer of several on a connection."""
+    """Reads one of several HTTP responses on a connection."""
     status = int(stream.readline().split()[1])
     headers = http.client.parse_headers(stream)
     if "Content-Length" in headers:
@@ -268,12 +270,12 @@
 
 
 def pipelined(context, caller):
-    """Sends requests at once on one connection; returns bodies in order."""
+    """Pipelines requests on one connection; returns texts and answers."""
     host, port = context.clients[caller].address.split(":")
     texts = [f"caller {caller} request {n}" for n in range(8)]
     with socket.create_connection((host, int(port)), 30) as connection:
         for text in texts:
-            body, headers = request_of(context, text, 8, False)
+            body, headers = build_request(context, text, 8, False)
             del headers["Rattanmill-Program"]
             lines = [f"{k}: {v}" for k, v in headers.items()]
             head = "\r\n".join(
@@ -298,12 +300,12 @@
 
 
 @then("each gets the answers to its own requests, in order")
-def step_own(context):
+def step_own_answers(context):
     for texts, answers in context.pairs:
         for text, answer in zip(texts, answers, strict=True):
             messages = [{"role": "user", "content": text}]
             assert answer.status == 200, answer
-            assert answer.text == expected(messages, 8), answer
+            assert answer.text == expected_text(messages, 8), answer
 
 
 @when("{count:d} programs each send 2 turns at once through any instance")
@@ -328,15 +330,15 @@
     context.found = list(context.pool.map(run, range(count)))
 
 
-@then("each has the whole answers to its own turns")
-def step_all_own(context):
+@then("each gets the complete answers to its own turns")
+def step_all_own_answers(context):
     for number, (first, second) in context.found:
         assert first.status == second.status == 200, (first, second)
         messages = [{"role": "user", "content": f"program {number} turn 1"}]
-        assert first.text == expected(messages, 20)
+        assert first.text == expected_text(messages, 20)
         messages.append({"role": "assistant", "content": first.text})
         messages.append({"role": "user", "content": f"program {number} turn 2"})
-        assert second.text == expected(messages, 20)
+        assert second.text == expected_text(messages, 20)
 
 
 _TEXT = st.text("ab", max_size=3)
@@ -353,14 +355,14 @@
 )
 
 
-def collected(parts):
+def join_parts(parts):
     answer = AnswerBuilder()
     for fields in parts:
         answer.add(Delta(fields, b""))
     return answer.message()
 
 
-@then("any parts that wait are joined to few that say the same")
+@then("any unsent parts are joined to few with the same text")
 def step_joined(context):
     @settings(_EXAMPLES, max_examples=30)
     @given_any(st.lists(_FIELDS, min_size=90, max_size=120))
@@ -370,12 +372,12 @@
             outbox.part("m", fields)
         waiting = [part.fields for part in outbox.waiting]
         assert len(waiting) <= 64, len(waiting)
-        assert collected(waiting) == collected(parts)
+        assert join_parts(waiting) == join_parts(parts)
 
     check()
 
 
-def cut(text, sizes):
+def split_text(text, sizes):
     """Cuts text into parts of the given sizes, over and over."""
     parts = []
     while text:
@@ -400,12 +402,12 @@
     def check(first, second, one, other, seen):
         overlap = Overlap()
         overlap.start_run()
-        for part in cut(first[:seen], one):
+        for part in split_text(first[:seen], one):
             overlap.take_undelivered({"content": part})
         overlap.start_run()
         got = first[:seen]
         differs = False
-        for part in cut(second, other):
+        for part in split_text(second, other):
             rest = overlap.take_undelivered({"content": part})
             if isinstance(rest, Mismatch):
                 differs = True
--- a/tests/features/steps/budget.py
+++ b/tests/features/steps/budget.py
@@ -1,4 +1,4 @@
-"""Steps that hold what engines made against programs' budgets."""
+"""Steps that compare the tokens that engines generated with the budgets."""
 
 import concurrent.futures
 import contextlib
@@ -16,48 +16,51 @@
     engines=[EngineSpec("engine-1", options={"decode": 2000.0})],
     lease_seconds=1.0,
 )
-_WELL = {
+_NO_FAULTS = {
     "hang": False,
     "lose_streams": False,
     "over_report_tokens": 0,
     "slow_factor": 1.0,
 }
 _PAUSE_SECONDS = 0.1
-_ENDED = ("budget_exhausted",)
+_BUDGET_SPENT_REASONS = ("budget_exhausted",)
 
 
-def made(context):
-    """Returns the tokens that the engine has worked on in this scenario."""
+def generated_tokens(context):
+    """Returns the engine's prompt and output tokens in this scenario."""
     stats = context.system.standins["engine-1"].stats()
     tokens = stats.get("prompt_tokens", 0) + stats.get("made_tokens", 0)
-    return tokens - context.base
+    return tokens - context.base_tokens
 
 
-def turn(client, program, text="x", tokens=200):
+def send_turn(client, program, text="x", tokens=200):
     return client.chat(
         text, program, max_tokens=tokens, standin={"output_tokens": tokens}
     )
 
 
-def living(context):
+def running_instances(context):
     return [i for i in context.system.instances if i.process.alive]
 
 
-def spend(clients, program):
-    """Sends turns until one is refused for want of budget."""
+def spend_budget(clients, program):
+    """Sends turns until one is refused because the budget is spent."""
     answer = None
     for number, client in enumerate(itertools.cycle(clients)):
         assert number < 500, f"the budget is never spent: {answer}"
         if answer and "retry-after" in answer.headers:
-            # Its engine is given a rest after it failed.
+            # An endpoint that failed is avoided for a moment.
             time.sleep(_PAUSE_SECONDS)
-        # Small answers use the budget up to nearly its end.
-        answer = turn(client, program, f"turn {number}", 20)
-        if answer.status != 200 and answer.json["reason"] in _ENDED:
+        # Short answers spend almost the whole budget.
+        answer = send_turn(client, program, f"turn {number}", 20)
+        if (
+            answer.status != 200
+            and answer.json["reason"] in _BUDGET_SPENT_REASONS
+        ):
             return answer
 
 
-def shown(context, program):
+def get_program(context, program):
     return context.clients[0].request("GET", f"/v1/programs/{program}").json
 
 
@@ -71,13 +74,16 @@
         else:
             system.start_instance(instance)
     system.standins["kv"].faults(slow_seconds=0.0, slow_match="")
-    system.standins["engine-1"].faults(**_WELL)
+    system.standins["engine-1"].faults(**_NO_FAULTS)
     system.wait_ready()
     system.wait_open()
-    context.base = 0
-    wait_until(lambda: made(context) == made(context), "the engine is quiet")
-    context.base = made(context)
-    context.children = []
+    context.base_tokens = 0
+    wait_until(
+        lambda: generated_tokens(context) == generated_tokens(context),
+        "the engine is quiet",
+    )
+    context.base_tokens = generated_tokens(context)
+    context.sub_agents = []
     context.pool = context.scenario_stack.enter_context(
         concurrent.futures.ThreadPoolExecutor(16)
     )
@@ -122,26 +128,28 @@
     context.program = client.create(**{"class": "looping"})
 
 
-def call_in_flight(context, program, client, tokens=300):
+def start_turn(context, program, client, tokens=300):
     """Starts a turn and returns it once the engine has it."""
     engine = context.system.standins["engine-1"]
     before = engine.stats().get("calls", 0)
-    call = context.pool.submit(turn, client, program, "x", tokens)
+    call = context.pool.submit(send_turn, client, program, "x", tokens)
     wait_until(
         lambda: engine.stats().get("calls", 0) > before, "a call is in flight"
     )
     return call
 
 
-@when("the owner dies with a turn in flight {times:d} times")
-def step_owner_dies(context, times):
+@when("the owner is killed with a turn in flight {times:d} times")
+def step_owner_killed(context, times):
     system = context.system
     engine = system.standins["engine-1"]
     for _ in range(times):
         owner = system.owner_of(context.program)
-        other = next(i for i in living(context) if i.name != owner.name)
+        other = next(
+            i for i in running_instances(context) if i.name != owner.name
+        )
         engine.faults(slow_factor=10.0)
-        call = call_in_flight(context, context.program, other.client)
+        call = start_turn(context, context.program, other.client)
         owner.process.kill()
         engine.faults(slow_factor=1.0)
         call.result()
@@ -149,17 +157,17 @@
         system.wait_ready()
 
 
-@given("the instances have seen the engine die")
-def step_engine_died(context):
-    end_engine(context)
+@given("the instances have noticed that the engine is down")
+def step_engine_down(context):
+    kill_engine(context)
     wait_until(
         lambda: all(
             endpoint["state"] == "down"
-            for i in living(context)
+            for i in running_instances(context)
             for endpoint in endpoints(i)
             if endpoint["name"] == "engine-1"
         ),
-        "the engine is down for all",
+        "the engine is down for all instances",
     )
 
 
@@ -167,82 +175,86 @@
     return instance.client.request("GET", "/v1/admin/endpoints").json
 
 
-def end_engine(context):
-    """Ends the engine; what it has made goes on to count."""
-    context.base = -made(context)
+def kill_engine(context):
+    """Kills the engine; the tokens that it generated continue to count."""
+    context.base_tokens = -generated_tokens(context)
     context.system.processes["engine-1"].kill()
 
 
-def connecting(context):
-    """Returns the instance that waits for an endpoint, if one does."""
-    for instance in living(context):
+def connecting_instance(context):
+    """Returns an instance that has a call in flight at an endpoint, or None."""
+    for instance in running_instances(context):
         if any(each["in_flight"] for each in endpoints(instance)):
             return instance
     return None
 
 
-def send_to_deaf_engine(context, deafness):
-    """Sends a turn that waits for an engine which takes no connection.
+def send_to_unresponsive_engine(context, listener):
+    """Sends a turn that waits for an engine that accepts no connection.
 
-    A probe that meets the moment after the engine's end and before anything
-    listens in its place finds it dead, and then no turn is sent there.
+    A probe may run after the engine was killed and before the stand-in listens
+    at its address. Then the endpoint is closed and no turn is sent there.
 
     Returns:
-        The instance that waits, or None if it has refused the turn.
+        The instance that waits, or None if the turn was refused.
     """
     system = context.system
-    deafness.close()
+    listener.close()
     if not system.processes["engine-1"].alive:
         system.restart_engine("engine-1")
         system.wait_open()
-    end_engine(context)
-    deafness.enter_context(
+    kill_engine(context)
+    listener.enter_context(
         unresponsive_listener(system.standins["engine-1"].address)
     )
     client = system.owner_of(context.program).client
-    context.late = context.pool.submit(turn, client, context.program, "x", 1000)
+    context.pending_turn = context.pool.submit(
+        send_turn, client, context.program, "x", 1000
+    )
     wait_until(
-        lambda: connecting(context) or context.late.done(),
+        lambda: connecting_instance(context) or context.pending_turn.done(),
         "the turn waits or is refused",
     )
-    return connecting(context)
+    return connecting_instance(context)
 
 
-@when("the owner is frozen while it waits for an engine")
-def step_frozen(context):
-    with contextlib.ExitStack() as deafness:
-        # The instance that waits is the owner, also where a shard has moved
-        # since the last look.
+@when("the owner is paused while it waits for an engine")
+def step_owner_paused(context):
+    with contextlib.ExitStack() as listener:
+        # The instance that waits is the owner, even if the shard has moved
+        # since the last check.
         context.owner = wait_until(
-            lambda: send_to_deaf_engine(context, deafness),
-            lambda: f"an owner waits: {context.late.result()}",
+            lambda: send_to_unresponsive_engine(context, listener),
+            lambda: f"an owner waits: {context.pending_turn.result()}",
         )
         context.owner.process.pause()
-    context.others = [
-        i.client for i in living(context) if i.name != context.owner.name
+    context.other_clients = [
+        i.client
+        for i in running_instances(context)
+        if i.name != context.owner.name
     ]
     context.system.restart_engine("engine-1")
 
 
 @when("turns are sent through the next owner until the budget is spent")
 def step_spend_next(context):
-    context.answer = spend(context.others, context.program)
+    context.answer = spend_budget(context.other_clients, context.program)
 
 
-@when("the old owner wakes up and finishes")
-def step_wake(context):
+@when("the old owner is resumed and finishes")
+def step_owner_resumed(context):
     context.owner.process.resume()
-    context.late.result()
+    context.pending_turn.result()
 
 
 @when("turns are sent until the budget is spent")
 def step_spend(context):
-    clients = [i.client for i in living(context)]
-    context.answer = spend(clients, context.program)
+    clients = [i.client for i in running_instances(context)]
+    context.answer = spend_budget(clients, context.program)
 
 
-def children(context, parent, tokens):
-    """Makes sub-agents until the parent's budget does not allow another."""
+def create_children(context, parent, tokens):
+    """Creates sub-agents until the parent's budget does not allow another."""
     found = []
     while True:
         answer = context.clients[0].request(
@@ -256,37 +268,43 @@
         found.append(answer.json["program"])
 
 
-@when("sub-agents with {tokens:d} tokens each are made until that is refused")
+@when(
+    "sub-agents with {tokens:d} tokens each are created until that is refused"
+)
 def step_children(context, tokens):
-    context.children = children(context, context.program, tokens)
-    assert len(context.children) > 1
+    context.sub_agents = create_children(context, context.program, tokens)
+    assert len(context.sub_agents) > 1
 
 
-@when("each of them makes sub-agents with {tokens:d} tokens")
+@when("each of them creates sub-agents with {tokens:d} tokens")
 def step_grandchildren(context, tokens):
-    found = [children(context, child, tokens) for child in context.children]
+    found = [
+        create_children(context, child, tokens) for child in context.sub_agents
+    ]
     assert all(found), found
-    context.children += itertools.chain(*found)
+    context.sub_agents += itertools.chain(*found)
 
 
-@when("all of them send turns at once until their budgets are spent")
+@when("all of them send turns concurrently until their budgets are spent")
 def step_all_spend(context):
-    programs = [context.program, *context.children]
-    list(context.pool.map(lambda p: spend(context.clients, p), programs))
+    programs = [context.program, *context.sub_agents]
+    list(context.pool.map(lambda p: spend_budget(context.clients, p), programs))
 
 
 @when(
     "a turn for {turn_tokens:d} and a sub-agent with {tokens:d} tokens are"
-    " asked for"
+    " requested"
 )
 def step_race(context, turn_tokens, tokens):
     kv = context.system.standins["kv"]
     before = kv.stats().get("log_writes_begun", 0)
     client = context.system.owner_of(context.program).client
-    call = context.pool.submit(turn, client, context.program, "x", turn_tokens)
+    call = context.pool.submit(
+        send_turn, client, context.program, "x", turn_tokens
+    )
     wait_until(
         lambda: kv.stats().get("log_writes_begun", 0) > before,
-        "the reservation is under way",
+        "the reservation is being committed",
     )
     body = {"parent": context.program, "budget": {"tokens": tokens}}
     made_child = client.request("POST", "/v1/programs", body)
@@ -299,52 +317,54 @@
     child = client.create(parent=context.program, budget={"tokens": tokens})
     engine = context.system.standins["engine-1"]
     engine.faults(slow_factor=10.0)
-    call = call_in_flight(context, child, client, 700)
+    call = start_turn(context, child, client, 700)
     end = context.pool.submit(client.request, "DELETE", f"/v1/programs/{child}")
     engine.faults(slow_factor=1.0)
     assert call.result().status == 200, call.result()
     assert end.result().status == 200, end.result()
-    left = shown(context, context.program)["budget_left"]["tokens"]
+    left = get_program(context, context.program)["budget_left"]["tokens"]
     context.parent_left = left
 
 
-@when("a sub-agent with {tokens:d} tokens outlives its parent")
-def step_outlive(context, tokens):
+@when("the parent of a sub-agent with {tokens:d} tokens is ended")
+def step_end_parent(context, tokens):
     client = context.clients[0]
     child = client.create(parent=context.program, budget={"tokens": tokens})
-    context.children = [child]
+    context.sub_agents = [child]
     path = f"/v1/programs/{context.program}"
     assert client.request("DELETE", path).status == 200
 
 
 @when("the sub-agent sends turns until its budget is spent")
 def step_child_spends(context):
-    context.answer = spend(context.clients, context.children[0])
+    context.answer = spend_budget(context.clients, context.sub_agents[0])
 
 
 @when("a turn is sent")
 @when("a different turn is sent")
 def step_turn(context):
-    context.answer = turn(context.clients[0], context.program, "different")
+    context.answer = send_turn(context.clients[0], context.program, "different")
 
 
-@when("a turn asks for {tokens:d} tokens")
+@when("a turn requests {tokens:d} tokens")
 def step_turn_asks(context, tokens):
-    context.answer = turn(context.clients[1], context.program, "x", tokens)
+    context.answer = send_turn(context.clients[1], context.program, "x", tokens)
 
 
 @when("the same turn is sent {count:d} times")
 def step_same_turns(context, count):
     for _ in range(count):
-        context.answer = turn(context.clients[1], context.program, "again", 8)
+        context.answer = send_turn(
+            context.clients[1], context.program, "again", 8
+        )
 
 
-@then("the engines made at most {tokens:d} tokens for it")
-@then("the engines made at most {tokens:d} tokens for all of them")
-@then("the engines made at most {tokens:d} tokens for the sub-agent")
-def step_made(context, tokens):
-    # Something was spent, or the check would hold for nothing.
-    assert 0 < made(context) <= tokens, made(context)
+@then("the engines generated at most {tokens:d} tokens for it")
+@then("the engines generated at most {tokens:d} tokens for all of them")
+@then("the engines generated at most {tokens:d} tokens for the sub-agent")
+def step_generated(context, tokens):
+    # Without any spent tokens, the check would prove nothing.
+    assert 0 < generated_tokens(context) <= tokens, generated_tokens(context)
 
 
 @then('the last turn was refused with "{reason}"')
@@ -369,14 +389,14 @@
 
 @then("the program shows at most {tokens:d} tokens spent")
 def step_spent_most(context, tokens):
-    state = shown(context, context.program)
+    state = get_program(context, context.program)
     assert state["spent_tokens"] <= tokens, state
     assert state["budget_left"]["tokens"] >= 0, state
 
 
 @then("the program has spent more than {tokens:d} tokens")
 def step_spent_least(context, tokens):
-    state = shown(context, context.program)
+    state = get_program(context, context.program)
     assert state["spent_tokens"] > tokens, state
 
 
--- a/tests/features/steps/history.py
+++ b/tests/features/steps/history.py
@@ -1,4 +1,4 @@
-"""Steps about what is kept of a program's turns."""
+"""Steps about the stored history of programs."""
 
 import base64
 
@@ -29,10 +29,10 @@
     )
 
 
-@when('answers to writes of "{match}" are lost {count:d} times')
-def step_lose(context, match, count):
+@when('responses to writes of "{match}" are lost {count:d} times')
+def step_lose_responses(context, match, count):
     stats = context.system.standins["kv"].stats()
-    context.lost_before = stats.get("answers_lost", 0)
+    context.lost_responses_before = stats.get("answers_lost", 0)
     kv_faults(context, lose_answers=count, lose_match=match)
 
 
@@ -45,12 +45,12 @@
     )
 
 
-@when("an answer was lost")
-def step_lost(context):
+@when("a response was lost")
+def step_response_lost(context):
     stats = context.system.standins["kv"].stats
     wait_until(
-        lambda: stats().get("answers_lost", 0) > context.lost_before,
-        "an answer was lost",
+        lambda: stats().get("answers_lost", 0) > context.lost_responses_before,
+        "a response was lost",
     )
 
 
@@ -59,7 +59,7 @@
     kv_faults(context, slow_seconds=seconds)
 
 
-@when("the key-value service hurries again")
+@when("the key-value service is no longer slow")
 def step_fast(context):
     context.system.standins["kv"].faults(slow_seconds=0.0)
 
@@ -95,38 +95,42 @@
     )
 
 
-def send_with(context, text, turn, receipts):
+def send_with_receipts(context, text, turn, receipts):
     context.answer = living(context)[-1].chat(
         text, context.program, turn, rattanmill_receipts=receipts
     )
 
 
 @when('turn {turn:d} "{text}" is sent with an altered receipt')
-def step_alter(context, turn, text):
-    """Changes the second receipt and makes its chain fit, as anybody could."""
-    raw = [base64.urlsafe_b64decode(receipt) for receipt in context.receipts]
-    turns = [msgspec.msgpack.decode(r[32:], type=TurnKept) for r in raw]
+def step_altered_receipt(context, turn, text):
+    """Alters the second receipt and fits its chain, which needs no secret."""
+    decoded_receipts = [
+        base64.urlsafe_b64decode(receipt) for receipt in context.receipts
+    ]
+    turns = [
+        msgspec.msgpack.decode(r[32:], type=TurnKept) for r in decoded_receipts
+    ]
     forged = msgspec.structs.replace(
         turns[1], answer=turns[1].answer.replace(b"assistant", b"assistent")
     )
     chain = next_chain(turns[0].chain, forged)
     forged = msgspec.structs.replace(forged, chain=chain)
-    data = raw[1][:32] + msgspec.msgpack.encode(forged)
+    data = decoded_receipts[1][:32] + msgspec.msgpack.encode(forged)
     altered = base64.urlsafe_b64encode(data).decode()
-    send_with(context, text, turn, [context.receipts[0], altered])
+    send_with_receipts(context, text, turn, [context.receipts[0], altered])
 
 
 @when('turn {turn:d} "{text}" is sent without the first receipt')
 def step_without_first(context, turn, text):
-    send_with(context, text, turn, context.receipts[1:])
+    send_with_receipts(context, text, turn, context.receipts[1:])
 
 
 @when('turn {turn:d} "{text}" is sent with each receipt twice')
-def step_twice(context, turn, text):
-    send_with(context, text, turn, context.receipts * 2)
+def step_duplicate_receipts(context, turn, text):
+    send_with_receipts(context, text, turn, context.receipts * 2)
 
 
-@when("a segment of an older epoch with turn {turn:d} stands in the next slot")
+@when("a segment of an older epoch with turn {turn:d} is in the next slot")
 def step_late_segment(context, turn):
     kv = context.system.standins["kv"]
     prefix = f"rm/log/{shard_of(context.program).replace('.', '/')}/"
@@ -151,15 +155,17 @@
     assert answer.status == 200, answer
 
 
-@then("the other call's answer is not in the history")
-def step_not_stale(context):
+@then("the late segment's answer is not in the history")
+def step_late_segment_ignored(context):
     client = living(context)[-1]
     path = f"/v1/programs/{context.program}/history"
     answer = client.request("GET", path)
     assert b"stale" not in answer.body, answer
 
 
-@when("turn {turn:d} with {count:d} letters is sent through a living instance")
+@when(
+    "turn {turn:d} with {count:d} characters is sent through a living instance"
+)
 def step_long_turn(context, turn, count):
     engine(context).faults(slow_factor=0.01)
     client = living(context)[-1]
--- a/tests/features/steps/not_run.py
+++ b/tests/features/steps/not_run.py
@@ -1,4 +1,4 @@
-"""Steps that hold refusals against what the endpoints counted."""
+"""Steps that compare refusals with the calls that endpoints counted."""
 
 import concurrent.futures
 
@@ -9,8 +9,8 @@
 _LAYOUT = Layout(domains=("sanjose-a",), per_domain=2, lease_seconds=1.0)
 
 
-def counted(context):
-    """Returns the calls that reached the endpoints' work."""
+def count_calls(context):
+    """Returns the number of calls that the endpoints have started."""
     system = context.system
     return sum(
         system.standins[name].stats().get("calls", 0)
@@ -19,7 +19,7 @@
     )
 
 
-def revive(context):
+def restore(context):
     system = context.system
     if not system.processes["engine-1"].alive:
         system.restart_engine("engine-1")
@@ -33,7 +33,7 @@
     system.standins["office-1"].faults(slow_seconds=0.0)
     system.wait_ready()
     system.wait_open()
-    # A stand-in that was gone is avoided for a while.
+    # An endpoint that was down is avoided for a while.
     wait_until(
         lambda: all(
             client.chat("warm up").status == 200
@@ -42,81 +42,81 @@
             and client.request("POST", "/v1/programs", {}).status == 201
             for client in context.clients
         ),
-        "the endpoints take calls again",
+        "the endpoints accept calls again",
     )
 
 
 @given("a system for refusals")
 def step_system(context):
     start(context, _LAYOUT)
-    revive(context)
+    restore(context)
     context.client = context.clients[0]
 
 
-def service(context, name="index-office", **headers):
+def call_service(context, name="index-office", **headers):
     return context.client.request(
         "POST", f"/v1/services/{name}/x", b"{}", headers
     )
 
 
-def ended(context):
+def call_ended_program(context):
     program = context.client.create()
     context.client.request("DELETE", f"/v1/programs/{program}")
     return context.client.chat("x", program)
 
 
-def of_class(context):
+def create_of_unknown_class(context):
     return context.client.request("POST", "/v1/programs", {"class": "none"})
 
 
-def with_budget(context, **budget):
+def chat_with_budget(context, **budget):
     program = context.client.create(budget=budget)
     return context.client.chat("x" * 30, program)
 
 
-def beyond_turns(context):
+def chat_beyond_turns(context):
     program = context.client.create(budget={"turns": 1})
     context.client.chat("x", program)
-    context.before = counted(context)
+    context.calls_before = count_calls(context)
     return context.client.chat("y", program)
 
 
-def foreign(context):
+def chat_from_other_workspace(context):
     program = context.client.create(workspace="leith")
     headers = {"Rattanmill-Workspace": "oban"}
     return context.client.chat("x", program, headers=headers)
 
 
-def forged(context):
+def chat_with_forged_receipt(context):
     program = context.client.create()
     return context.client.chat(
         "x", program, 1, rattanmill_receipts=["AAAA" * 20]
     )
 
 
-def draining(context):
+def chat_at_draining_engine(context):
     context.system.standins["engine-1"].faults(draining=True)
     return context.client.chat("x")
 
 
-def engine_gone(context):
+def chat_without_engine(context):
     context.system.processes["engine-1"].kill()
-    context.before = counted(context)
+    context.calls_before = count_calls(context)
     return context.client.chat("x")
 
 
-def service_gone(context):
+def call_without_service(context):
     context.system.processes["office-1"].kill()
-    context.before = counted(context)
-    return service(context)
+    context.calls_before = count_calls(context)
+    return call_service(context)
 
 
-def act_without_store(context):
+def act_without_kv(context):
     context.system.standins["kv"].faults(down=True)
     return context.client.act("k")
 
 
-def turn_without_store(context):
+def turn_without_kv(context):
     program = context.client.create()
     context.system.standins["kv"].faults(down=True)
     return context.client.chat("x", program)
@@ -127,31 +127,31 @@
         "POST", "/v1/chat/completions", b"{"
     ),
     "for an unknown model": lambda c: c.client.chat("x", model="none"),
-    "for an unknown service": lambda c: service(c, "none"),
-    "of an unknown class": of_class,
+    "for an unknown service": lambda c: call_service(c, "none"),
+    "of an unknown class": create_of_unknown_class,
     "of an unknown program": lambda c: c.client.chat("x", "sanjose-a.0.abc"),
-    "of an ended program": ended,
-    "of another workspace": foreign,
+    "of an ended program": call_ended_program,
+    "of another workspace": chat_from_other_workspace,
     "a turn too far ahead": lambda c: c.client.chat("x", c.client.create(), 3),
-    "beyond its budget": lambda c: with_budget(c, tokens=40),
-    "beyond its turns": beyond_turns,
-    "beyond its seconds": lambda c: with_budget(c, seconds=1e-9),
-    "an act without a key": lambda c: service(
+    "beyond its budget": lambda c: chat_with_budget(c, tokens=40),
+    "beyond its turns": chat_beyond_turns,
+    "beyond its seconds": lambda c: chat_with_budget(c, seconds=1e-9),
+    "an act without a key": lambda c: call_service(
         c, **{"Rattanmill-Non-Idempotent": "true"}
     ),
-    "with a forged receipt": forged,
+    "with a forged receipt": chat_with_forged_receipt,
     "too large": lambda c: c.client.chat("x" * 5_000_000),
-    "for a draining engine": draining,
-    "for an engine that is gone": engine_gone,
-    "for a service that is gone": service_gone,
-    "an act while the KV is down": act_without_store,
-    "a turn while the KV is down": turn_without_store,
+    "for a draining engine": chat_at_draining_engine,
+    "for an engine that is down": chat_without_engine,
+    "for a service that is down": call_without_service,
+    "an act while the KV is down": act_without_kv,
+    "a turn while the KV is down": turn_without_kv,
 }
 
 
 @when("a call is made that is {case}")
 def step_case(context, case):
-    context.before = counted(context)
+    context.calls_before = count_calls(context)
     context.answer = _CASES[case](context)
 
 
@@ -169,8 +169,8 @@
 
 
 @then("the endpoints counted {count:d} calls")
-def step_counted(context, count):
-    assert counted(context) - context.before == count
+def step_calls_counted(context, count):
+    assert count_calls(context) - context.calls_before == count
 
 
 @then('refusals for "{reason}" were counted')
@@ -179,50 +179,50 @@
     assert context.client.metric(name, reason=reason) > 0
 
 
-def under_way(context, send):
+def start_call(context, send):
     """Starts a call and returns its future once an endpoint runs it."""
-    before = counted(context)
+    calls_before = count_calls(context)
     pool = context.scenario_stack.enter_context(
         concurrent.futures.ThreadPoolExecutor(1)
     )
     calls = [pool.submit(send)]
 
     def running():
-        if calls[-1].done() and counted(context) == before:
-            # Refused before it ran, as after an outage; come back.
+        if calls[-1].done() and count_calls(context) == calls_before:
+            # Refused before it ran, as right after an outage: send it again.
             assert calls[-1].result().json["ran"] == "no", calls[-1].result()
             calls.append(pool.submit(send))
-        return counted(context) > before
+        return count_calls(context) > calls_before
 
     wait_until(running, lambda: f"the call is running: {calls[-1]}")
     return calls[-1]
 
 
-@when("a {kind} call runs at an endpoint that dies")
-def step_dies(context, kind):
+@when("a {kind} call runs at an endpoint that is killed")
+def step_endpoint_killed(context, kind):
     system = context.system
     if kind == "service":
         system.standins["office-1"].faults(slow_seconds=30.0)
-        call = under_way(context, lambda: service(context))
+        call = start_call(context, lambda: call_service(context))
         system.processes["office-1"].kill()
     else:
         system.standins["engine-1"].faults(hang=True)
         program = context.client.create() if kind == "turn" else ""
-        # Not the text of another scenario: it would be quarantined.
+        # A text of its own: that of another scenario would be quarantined.
         text = f"{kind} at an engine that dies"
-        call = under_way(context, lambda: context.client.chat(text, program))
+        call = start_call(context, lambda: context.client.chat(text, program))
         system.processes["engine-1"].kill()
     context.answer = call.result()
 
 
-@when("a turn runs while its owner and its engine die")
-def step_both_die(context):
+@when("a turn runs while its owner and its engine are killed")
+def step_both_killed(context):
     system = context.system
     program = context.client.create()
     owner = system.owner_of(program)
     other = next(i for i in system.instances if i.name != owner.name)
     system.standins["engine-1"].faults(hang=True)
-    call = under_way(context, lambda: other.client.chat("Both die.", program))
+    call = start_call(context, lambda: other.client.chat("Both die.", program))
     owner.process.kill()
     system.processes["engine-1"].kill()
     context.answer = call.result()
--- a/tests/features/steps/ownership.py
+++ b/tests/features/steps/ownership.py
@@ -1,4 +1,4 @@
-"""Steps about owners of shards."""
+"""Steps about the owners of shards."""
 
 import asyncio
 import time
@@ -31,8 +31,8 @@
 from support.virtual import pause, run_virtually
 
 
-def start_later(context, instance):
-    """Starts an instance again when the scenario ends, if it is dead."""
+def restart_at_end(context, instance):
+    """Restarts an instance when the scenario ends, if it does not run."""
 
     def start():
         if not instance.process.alive:
@@ -42,42 +42,46 @@
     context.scenario_stack.callback(start)
 
 
-@when("the owner dies and is started again at once")
+@when("the owner is killed and restarted at once")
 def step_restart(context):
     context.owner = context.system.owner_of(context.program)
     context.owner.process.kill()
     context.system.start_instance(context.owner)
 
 
-@when("all instances of failure domain {domain:d} die and one is started again")
-def step_all_die(context, domain):
+@when(
+    "all instances of failure domain {domain:d} are killed and one is restarted"
+)
+def step_all_killed(context, domain):
     instances = context.system.in_domain(domain)
     for instance in instances:
         instance.process.kill()
-        start_later(context, instance)
+        restart_at_end(context, instance)
     context.system.start_instance(instances[-1])
     wait_until(lambda: status(instances[-1]), "it answers")
 
 
-@when("the taker is paused as soon as it has the shard")
-def step_pause_taker(context):
-    dead = context.owner.name
+@when("the next owner is paused as soon as it has claimed the shard")
+def step_pause_next_owner(context):
+    dead_owner = context.owner.name
     place, number = shard_of(context.program).split(".")
 
-    def find():
+    def find_next_owner():
         for instance in context.system.in_domain(0):
             shown = status(instance) if instance.process.alive else None
-            if shown and shown["owners"][place][int(number)] != dead:
+            if shown and shown["owners"][place][int(number)] != dead_owner:
                 name = shown["owners"][place][int(number)]
                 return context.system.instance(name)
         return None
 
-    context.taker = wait_until(find, "an instance takes the shard")
-    context.taker.process.pause()
-    context.scenario_stack.callback(context.taker.process.resume)
+    context.next_owner = wait_until(
+        find_next_owner, "an instance claims the shard"
+    )
+    context.next_owner.process.pause()
+    context.scenario_stack.callback(context.next_owner.process.resume)
 
 
-@when("no answers are lost any more")
+@when("no responses are lost any more")
 def step_no_loss(context):
     context.system.standins["kv"].faults(lose_answers=0)
 
@@ -89,12 +93,12 @@
     context.answer = context.clients[-1].chat(text, context.program, turn)
 
 
-@when("the taker goes on")
-def step_resume_taker(context):
-    context.taker.process.resume()
+@when("the paused instance is resumed")
+def step_resume_next_owner(context):
+    context.next_owner.process.resume()
     wait_until(
-        lambda: (status(context.taker) or {}).get("lease") == "held",
-        "the taker has a lease",
+        lambda: (status(context.next_owner) or {}).get("lease") == "held",
+        "the resumed instance has a lease",
     )
 
 
@@ -108,15 +112,18 @@
     assert len(context.programs) == 6, context.programs
 
 
-@when("an instance of failure domain {domain:d} dies and its shards have moved")
-def step_one_dies(context, domain):
-    context.fresh = context.system.in_domain(domain)[0]
-    context.fresh.process.kill()
-    start_later(context, context.fresh)
+@when(
+    "an instance of failure domain {domain:d} is killed and its shards have"
+    " moved"
+)
+def step_one_killed(context, domain):
+    context.restarted = context.system.in_domain(domain)[0]
+    context.restarted.process.kill()
+    restart_at_end(context, context.restarted)
     context.system.wait_ready()
 
 
-@when("it is started again while turns are sent")
+@when("it is restarted while turns are sent")
 def step_start_under_load(context):
     context.answered = {program: [] for program in context.programs.values()}
     moved = []
@@ -130,11 +137,12 @@
                 return
 
     sender = background(context, send)
-    context.system.start_instance(context.fresh)
+    context.system.start_instance(context.restarted)
     try:
         wait_until(
             lambda: (
-                len((status(context.fresh) or {"shards": []})["shards"]) >= 2
+                len((status(context.restarted) or {"shards": []})["shards"])
+                >= 2
             ),
             "the new instance has its share",
         )
@@ -163,28 +171,28 @@
         assert numbers == list(range(1, len(answers) + 1)), numbers
 
 
-@when("the owner is told to stop")
+@when("the owner is shut down")
 def step_stop_owner(context):
     context.owner = context.system.owner_of(context.program)
     context.owner.process.terminate()
-    start_later(context, context.owner)
+    restart_at_end(context, context.owner)
     wait_until(
         lambda: (status(context.owner) or {}).get("draining"), "it drains"
     )
 
 
-@then("the old owner ends by itself")
+@then("the old owner exits by itself")
 def step_ended(context):
     assert context.owner.process.wait(20) == 0
     assert "cut off" not in context.owner.process.tail()
 
 
-@when("an instance that does not own the program dies")
-def step_other_dies(context):
+@when("an instance that does not own the program is killed")
+def step_other_killed(context):
     context.owner = context.system.owner_of(context.program)
-    context.fresh = other_in_domain(context, context.owner)
-    context.fresh.process.kill()
-    start_later(context, context.fresh)
+    context.restarted = other_in_domain(context, context.owner)
+    context.restarted.process.kill()
+    restart_at_end(context, context.restarted)
     context.system.wait_ready()
 
 
@@ -200,10 +208,10 @@
     )
 
 
-@when("the instance that died is started again")
-def step_start_fresh(context):
-    context.system.start_instance(context.fresh)
-    wait_until(lambda: status(context.fresh), "it answers")
+@when("the killed instance is restarted")
+def step_start_killed(context):
+    context.system.start_instance(context.restarted)
+    wait_until(lambda: status(context.restarted), "it answers")
 
 
 @when("{count:d} lease times pass")
@@ -243,8 +251,8 @@
     assert not names, names
 
 
-class _SlowKv:
-    """A service that takes its time and can fall silent."""
+class _FakeKv:
+    """A key-value service with a response time, and a switch for outages."""
 
     def __init__(self):
         self.seconds = 0.0
@@ -268,19 +276,19 @@
 
 
 def run_lease(work):
-    """Runs a lease in virtual time, by which it also notices pauses.
+    """Runs a lease in virtual time, also for its detection of pauses.
 
-    On a busy machine this process is stopped for longer than a lease bears.
+    On a busy machine, this process may be paused for longer than a lease.
     """
     clock = "rattanmill_platform.lease.boot_seconds"
     with unittest.mock.patch(clock, loop_seconds):
         return run_virtually(work)
 
 
-@given("the lease of an instance that was paused and has a lease again")
+@given("the lease of an instance that was paused and has a new lease")
 def step_paused_lease(context):
     async def run():
-        kv = _SlowKv()
+        kv = _FakeKv()
         seen = []
         async with InstanceLease(kv, "key", b"record", 0.6) as lease:
             lease.confirm(lease.interruptions)
@@ -306,7 +314,7 @@
     context.seen = run_lease(run())
 
 
-@when("the service falls silent while peers are heard")
+@when("the service becomes unavailable while heartbeats arrive")
 def step_silent(context):
     assert context.seen[:2] == [True, False], context.seen
 
@@ -316,7 +324,7 @@
     assert context.seen[2:4] == [False, False], context.seen
 
 
-@when("the service is back and its ownership was confirmed")
+@when("the service is available and its ownership was confirmed")
 def step_confirmed(context):
     assert len(context.seen) == 5
 
@@ -334,7 +342,7 @@
 @then("the instance holds its shards without a break for {count:d} lease times")
 def step_no_break(context, count):
     async def run():
-        kv = _SlowKv()
+        kv = _FakeKv()
         async with InstanceLease(kv, "key", b"record", 1.0) as lease:
             lease.confirm(lease.interruptions)
             lease.peers_known = 1
@@ -352,7 +360,7 @@
 
 
 class _Peer:
-    """A link that takes messages, or waits for ever."""
+    """A link that accepts messages, or blocks forever if it is full."""
 
     def __init__(self, full):
         self.full = full
@@ -372,7 +380,7 @@
 
 
 def _node(names):
-    """Returns as much of a node as ownership and gossip look at."""
+    """Returns a node with the parts that ownership and gossip use."""
     peers = {name: _Peer(full=name.startswith("dead")) for name in names}
     tasks = []
     return types.SimpleNamespace(
@@ -394,15 +402,15 @@
     )
 
 
-@given("an instance whose link to a dead one is full")
+@given("an instance whose link to a dead instance is full")
 def step_full_link(context):
     context.node = _node(["dead", "living"])
-    # The dead one is asked first: its lease has lapsed.
+    # The dead instance gets its heartbeat first: its lease has expired.
     context.node.suspects = {"dead": 0.0}
 
 
 @when("it sends a round of heartbeats")
-def step_beat(context):
+def step_heartbeat_round(context):
     async def run():
         gossip = Gossip(context.node, None)
         partners = list(context.node.addresses.values())
@@ -417,20 +425,20 @@
     asyncio.run(run())
 
 
-@then("the living ones get theirs although the full link still waits")
-def step_living_get(context):
+@then("the live instances get theirs while the full link still waits")
+def step_live_get(context):
     peers = context.node.hub.peers
     assert not peers["dead"].sent
     assert len(peers["living"].sent) == 1, peers["living"].sent
 
 
-@given("an instance whose view of the owners is impossible")
-def step_impossible(context):
+@given("an instance whose view of the owners is invalid")
+def step_invalid_view(context):
     context.view = types.SimpleNamespace(synced=True, shards=None)
 
 
-@when("it looks after its shards")
-def step_look(context):
+@when("it reconciles its shards")
+def step_reconcile(context):
     async def run():
         settings = types.SimpleNamespace(name="self", domain="east")
         node = Node(settings, "run-self")
@@ -445,6 +453,6 @@
     context.failure = asyncio.run(run())
 
 
-@then("it says that an invariant is broken")
-def step_says(context):
+@then("it reports a broken invariant")
+def step_invariant_reported(context):
     assert isinstance(context.failure, InvariantError), context.failure
