--- a/libs/entry/src/rattanmill_entry/acts.py
+++ b/libs/entry/src/rattanmill_entry/acts.py
@@ -130,7 +130,7 @@
 async def _answer_repeat(
     program: Program, start: CallStart, act: Act
 ) -> list[Reply]:
-    """Answers a repeated request, after a run that is in progress."""
+    """Answers a repeated request; waits for a run that is in progress."""
     if act.running is not None:
         await asyncio.wait([act.running], timeout=start.seconds_left)
     if act.settled is None and act.running is not None:
@@ -290,31 +290,35 @@
     return [refused(run.start, refusal)]
 
 
-async def _settle(run: _ActRun, answer: ServiceResponse | None) -> list[Reply]:
+async def _settle(
+    run: _ActRun, response: ServiceResponse | None
+) -> list[Reply]:
     """Stores the outcome; the caller gets it even if that fails.
 
     If it fails, the next owner has only the intent and refuses a repeat with
     ``act_unknown``, which is all that it knows.
     """
-    run.act.settled = _settled_record(run, answer)
+    run.act.settled = _settled_record(run, response)
     appended = await run.shard.log.append(run.act.settled)
-    if answer is None:
+    if response is None:
         return _stored_replies(run.start, run.act)
-    if answer.status == _FENCED_STATUS and isinstance(appended, Fenced):
+    if response.status == _FENCED_STATUS and isinstance(appended, Fenced):
         # The service checks fencing tokens, and this instance's was stale.
         return [ownership_lost(run.start, Ran.NO)]
-    return answered(run.start, answer)
+    return answered(run.start, response)
 
 
-def _settled_record(run: _ActRun, answer: ServiceResponse | None) -> ActSettled:
+def _settled_record(
+    run: _ActRun, response: ServiceResponse | None
+) -> ActSettled:
     program, key = run.program.made.program, run.act.key
-    if answer is None:
+    if response is None:
         return ActSettled(program, key, Ran.UNKNOWN)
-    if len(answer.body) > _MAX_STORED_BODY_BYTES:
+    if len(response.body) > _MAX_STORED_BODY_BYTES:
         run.node.metrics.count("rattanmill_act_answers_not_kept")
         return ActSettled(program, key, Ran.YES)
     return ActSettled(
-        program, key, Ran.YES, answer.status, answer.headers, answer.body
+        program, key, Ran.YES, response.status, response.headers, response.body
     )
 
 
--- a/libs/entry/src/rattanmill_entry/budget.py
+++ b/libs/entry/src/rattanmill_entry/budget.py
@@ -160,9 +160,9 @@
     For messages that no reported usage covers yet, each byte counts as a
     token.
     """
-    known, tokens = _reported_usage(program, plan)
-    rest = prompt_bound(plan.messages[known:])
-    return tokens + rest + (_TEMPLATE_TOKENS if known else 0)
+    covered, tokens = _reported_usage(program, plan)
+    rest = prompt_bound(plan.messages[covered:])
+    return tokens + rest + (_TEMPLATE_TOKENS if covered else 0)
 
 
 def _reported_usage(program: Program, plan: Plan) -> tuple[int, int]:
--- a/libs/entry/src/rattanmill_entry/engines.py
+++ b/libs/entry/src/rattanmill_entry/engines.py
@@ -90,7 +90,7 @@
         node.table.on_suspect = lambda state: node.spawn(self._check(state))
 
     async def __aenter__(self) -> Self:
-        self.task = start_loop("endpoint watch", self._run())
+        self.task = start_loop("endpoint monitor", self._run())
         return self
 
     async def __aexit__(self, *exc_info: object) -> None:
@@ -253,8 +253,8 @@
         timeout = aiohttp.ClientTimeout(total=_PROBE_TIMEOUT_SECONDS)
         async with self.node.act_session.get(
             f"{url}/v1/load", timeout=timeout
-        ) as answer:
-            body = await answer.read()
+        ) as response:
+            body = await response.read()
         try:
             return msgspec.json.decode(body, type=Load)
         except msgspec.DecodeError:
--- a/libs/entry/src/rattanmill_entry/handover.py
+++ b/libs/entry/src/rattanmill_entry/handover.py
@@ -136,19 +136,19 @@
             self.node.kv, self.domain, shard.number, old, new
         )
 
-    async def transfer_all(self, until: float) -> None:
+    async def transfer_all(self, deadline: float) -> None:
         """Transfers each shard as soon as it has no running call.
 
         A shard with a long stream must not delay the transfer of the others,
         and a shard that stays busy must not keep the process running.
 
         Args:
-            until: Monotonic time at which to give up.
+            deadline: Monotonic time at which to give up.
         """
         if self.move_task:
             await asyncio.wait([self.move_task])
         shards = list(self.node.shards.values())
-        remaining_seconds = max(0.0, until - time.monotonic())
+        remaining_seconds = max(0.0, deadline - time.monotonic())
         successors = self._successors()
         transfers = [
             self._transfer(
--- a/libs/entry/src/rattanmill_entry/memory.py
+++ b/libs/entry/src/rattanmill_entry/memory.py
@@ -79,23 +79,23 @@
         if self.task:
             self.task.cancel()
 
-    def turn_started(self, program: str) -> None:
+    def turn_started(self, program_id: str) -> None:
         """Records how long the program paused for its tools."""
-        if pinned := self.pinned_programs.get(program):
+        if pinned := self.pinned_programs.get(program_id):
             pinned.returned(loop_seconds())
 
     def turn_finished(self, run: ChatRun, state: EndpointState) -> None:
         """Pins the program's cache where its turn ran, if that is worth it."""
-        program = run.work.program
-        found = self._find_owned(program)
+        program_id = run.work.program
+        found = self._find_owned(program_id)
         if found is None:
             return
         shard, _ = found
-        pinned = self.pinned_programs.setdefault(program, Pinned())
+        pinned = self.pinned_programs.setdefault(program_id, Pinned())
         pinned.paused_at = loop_seconds()
         name = state.endpoint.name
         for other in [n for n in pinned.pins if n != name]:
-            self._release(shard, program, other, "moved")
+            self._release(shard, program_id, other, "moved")
         tokens = sum(tokens for _, tokens in run.work.prefixes)
         if pinned.covers(name, tokens):
             pinned.pins[name].until = pinned.deadline(loop_seconds())
@@ -118,22 +118,22 @@
         shard = self.node.shards.get(key)
         if shard is None or shard.log.fenced or not self.node.lease.holds():
             return
-        for program, epoch in message.pins:
+        for program_id, epoch in message.pins:
             if epoch <= shard.epoch:
-                self._check_pin(shard, program, message.endpoint)
+                self._check_pin(shard, program_id, message.endpoint)
 
-    def _check_pin(self, shard: Shard, program: str, engine: str) -> None:
-        known = shard.programs.get(program)
-        if known is None or known.ended is not None:
-            self._release(shard, program, engine, "swept")
+    def _check_pin(self, shard: Shard, program_id: str, engine: str) -> None:
+        program = shard.programs.get(program_id)
+        if program is None or program.ended is not None:
+            self._release(shard, program_id, engine, "swept")
             return
-        pinned = self.pinned_programs.setdefault(program, Pinned())
+        pinned = self.pinned_programs.setdefault(program_id, Pinned())
         if not pinned.pins:
             # Pinned by an earlier owner.
             pinned.pins[engine] = Pin(0, pinned.deadline(loop_seconds()))
             self._count("adopted")
         elif engine not in pinned.pins:
-            self._release(shard, program, engine, "swept")
+            self._release(shard, program_id, engine, "swept")
 
     async def _run(self) -> None:
         while True:
@@ -153,29 +153,29 @@
         if not self.node.lease.holds():
             return
         now = loop_seconds()
-        for program, pinned in list(self.pinned_programs.items()):
-            found = self._find_owned(program)
+        for program_id, pinned in list(self.pinned_programs.items()):
+            found = self._find_owned(program_id)
             if found is None:
                 # Another instance owns it and finds its pins by the sweep.
-                del self.pinned_programs[program]
+                del self.pinned_programs[program_id]
                 continue
-            shard, known = found
-            ended = known.ended is not None
+            shard, program = found
+            ended = program.ended is not None
             for engine, pin in list(pinned.pins.items()):
                 if ended:
-                    self._release(shard, program, engine, "ended")
-                elif now > pin.until and not known.waiting:
-                    self._release(shard, program, engine, "overdue")
+                    self._release(shard, program_id, engine, "ended")
+                elif now > pin.until and not program.waiting:
+                    self._release(shard, program_id, engine, "overdue")
             if ended:
-                self.pinned_programs.pop(program, None)
+                self.pinned_programs.pop(program_id, None)
 
-    def _find_owned(self, program: str) -> tuple[Shard, Program] | None:
-        parsed = parse_program_id(program)
+    def _find_owned(self, program_id: str) -> tuple[Shard, Program] | None:
+        parsed = parse_program_id(program_id)
         if parsed is None:
             return None
         shard = self.node.shards.get((parsed.domain, parsed.shard))
-        known = shard.programs.get(program) if shard else None
-        return (shard, known) if shard and known else None
+        program = shard.programs.get(program_id) if shard else None
+        return (shard, program) if shard and program else None
 
     def _tokens_at(self, engine: str) -> int:
         return sum(
@@ -194,16 +194,16 @@
         await self._send_request(state.endpoint.url, "/v1/pins", body, "pinned")
 
     def _release(
-        self, shard: Shard, program: str, engine: str, outcome: str
+        self, shard: Shard, program_id: str, engine: str, outcome: str
     ) -> None:
         """Releases one pin; if the request is lost, the sweep finds the pin."""
-        if pinned := self.pinned_programs.get(program):
+        if pinned := self.pinned_programs.get(program_id):
             pinned.pins.pop(engine, None)
         state = self.node.table.states.get(engine)
         if state is None:
             return
         fence = f"{shard.domain}.{shard.number}:{shard.epoch}"
-        body = {"owner": program, "fence": fence}
+        body = {"owner": program_id, "fence": fence}
         url = state.endpoint.url
         self.node.spawn(
             self._send_request(url, "/v1/pins/release", body, outcome)
@@ -219,9 +219,9 @@
                 data=msgspec.json.encode(body),
                 headers={"Content-Type": "application/json"},
                 timeout=timeout,
-            ) as answer:
-                await answer.read()
-                status = answer.status
+            ) as response:
+                await response.read()
+                status = response.status
         except (aiohttp.ClientError, TimeoutError, OSError):
             self._count("lost")
             return
@@ -278,8 +278,8 @@
         timeout = aiohttp.ClientTimeout(total=_REQUEST_TIMEOUT_SECONDS)
         url = f"{state.endpoint.url}/v1/pins"
         try:
-            async with self.node.session.get(url, timeout=timeout) as answer:
-                body = await answer.read()
+            async with self.node.session.get(url, timeout=timeout) as response:
+                body = await response.read()
             return msgspec.json.decode(body, type=_ReportedPins).pins
         except (
             aiohttp.ClientError,
--- a/libs/entry/src/rattanmill_entry/ownership.py
+++ b/libs/entry/src/rattanmill_entry/ownership.py
@@ -209,7 +209,7 @@
 
     async def _load(self, number: int, epoch: int) -> None:
         node = self.node
-        began = time.monotonic()
+        started_at = time.monotonic()
         interruptions = node.lease.interruptions
         recovered = await recover(
             node.kv, self.domain, number, epoch, node.settings.name
@@ -232,7 +232,7 @@
         node.shards[self.domain, number] = Shard(
             self.domain, number, epoch, recovered.programs, log
         )
-        seconds = time.monotonic() - began
+        seconds = time.monotonic() - started_at
         node.metrics.observe("rattanmill_shard_load_seconds", seconds)
         _log.info(
             "Shard {}.{} loaded at epoch {}, {} programs.",
@@ -305,14 +305,14 @@
 
     def _update_suspects(self, owners: DomainShards | None) -> None:
         living = living_instances(self.node)
-        lapsed = {
+        expired = {
             owner.owner
             for owner in (owners.shards if owners else [])
             if owner.owner and owner.owner not in living
         }
         now = time.monotonic()
         self.node.suspects = {
-            name: self.node.suspects.get(name, now) for name in lapsed
+            name: self.node.suspects.get(name, now) for name in expired
         }
 
     async def _claim_free_shards(self, owners: DomainShards | None) -> None:
@@ -321,8 +321,8 @@
         living = living_instances(self.node)
         free = [n for n, o in enumerate(known) if self._is_free(o, living)]
         held = sum(1 for owner in known if self._is_own(owner))
-        claimed_numbers = free[: max(0, share(self.node, count) - held)]
-        if not claimed_numbers:
+        to_claim = free[: max(0, share(self.node, count) - held)]
+        if not to_claim:
             return
         node = self.node
         stored = await read_owners(node.kv, self.domain, count)
@@ -330,7 +330,7 @@
             return
         if stored.owners.epoch != (owners.epoch if owners else 0):
             return
-        targets = dict.fromkeys(claimed_numbers, self._own_record())
+        targets = dict.fromkeys(to_claim, self._own_record())
         changed = await write_owners(node.kv, self.domain, stored, targets)
         if isinstance(changed, DomainShards):
             self.record_owners(changed)
--- a/libs/entry/src/rattanmill_entry/route.py
+++ b/libs/entry/src/rattanmill_entry/route.py
@@ -2,7 +2,7 @@
 
 A caller may send its request to any instance. A call to a shard without an
 owner waits for the takeover, for a bounded time. It is retried only if the
-owner recognises a repeat (a turn, an act, a read) or if it has not run.
+owner recognizes a repeat (a turn, an act, a read) or if it has not run.
 """
 
 import asyncio
@@ -79,12 +79,12 @@
 
 async def _try_once(node: Node, start: CallStart) -> Replies:
     """Sends the call once to the currently known owner."""
-    owned = parse_program_id(start.program)
-    owner = owner_of(node, owned.domain, owned.shard) if owned else None
-    if owned and owned.domain not in node.config.domains:
+    parsed = parse_program_id(start.program)
+    owner = owner_of(node, parsed.domain, parsed.shard) if parsed else None
+    if parsed and parsed.domain not in node.config.domains:
         detail = "The program's id names an unknown failure domain."
         yield refused(start, refuse(Reason.UNKNOWN_PROGRAM, detail))
-    elif owned and (owned.domain, owned.shard) in node.shards:
+    elif parsed and (parsed.domain, parsed.shard) in node.shards:
         async for reply in serve(node, start):
             yield reply
     elif owner is None or owner.name == node.settings.name:
@@ -94,7 +94,7 @@
         peer = node.hub.peer(owner.name, peer_address(node, owner))
 
         def has_moved() -> bool:
-            return owner_of(node, owned.domain, owned.shard) != owner
+            return owner_of(node, parsed.domain, parsed.shard) != owner
 
         async for reply in peer.call(start, has_moved):
             yield reply
@@ -116,15 +116,18 @@
 
 
 def new_program_shard(node: Node) -> str:
-    """Returns a shard for a new program, if possible an own one.
+    """Returns a shard for a new program, preferably an own one.
 
     Otherwise it is a shard whose owner is live and not shutting down: a shard
     in handover may have no owner until its last call has ended.
+
+    Returns:
+        Failure domain, shard number and LOOSE_TOKEN, joined by dots.
     """
     domain = node.settings.domain
-    own = [shard for name, shard in node.shards if name == domain]
+    own_shards = [shard for name, shard in node.shards if name == domain]
     chosen = random.choice(
-        own or _stable_shards(node) or range(shard_count(node, domain))
+        own_shards or _stable_shards(node) or range(shard_count(node, domain))
     )
     return f"{domain}.{chosen}.{LOOSE_TOKEN}"
 
--- a/libs/entry/src/rattanmill_entry/upstream.py
+++ b/libs/entry/src/rattanmill_entry/upstream.py
@@ -177,11 +177,11 @@
     call: contextlib.AbstractAsyncContextManager[aiohttp.ClientResponse],
 ) -> AsyncIterator[Delta | Finished | Failed]:
     try:
-        async with call as answer:
-            if answer.status != 200:
-                yield await _failed_response(answer)
+        async with call as response:
+            if response.status != 200:
+                yield await _failed_response(response)
                 return
-            async for part in _parts(answer.content):
+            async for part in _parts(response.content):
                 yield part
     except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as e:
         yield Failed(Outcome.NOT_CONNECTED, 0, str(e))
@@ -216,22 +216,22 @@
     yield Failed(Outcome.BROKEN, 0, "stream ended early")
 
 
-async def _failed_response(answer: aiohttp.ClientResponse) -> Failed:
+async def _failed_response(response: aiohttp.ClientResponse) -> Failed:
     """Returns the failure for a response with an error status.
 
     Only ``draining`` shows that nothing ran; an engine that fails for another
     reason may have started the call.
     """
-    detail = (await answer.content.read(_MAX_DETAIL_BYTES)).decode(
+    detail = (await response.content.read(_MAX_DETAIL_BYTES)).decode(
         errors="replace"
     )
-    if answer.status == 503 and '"draining"' in detail:
+    if response.status == 503 and '"draining"' in detail:
         outcome = Outcome.DRAINING
-    elif answer.status >= 500:
+    elif response.status >= 500:
         outcome = Outcome.BROKEN
     else:
         outcome = Outcome.REJECTED
-    return Failed(outcome, answer.status, detail)
+    return Failed(outcome, response.status, detail)
 
 
 async def _events(content: aiohttp.StreamReader) -> AsyncIterator[bytes]:
@@ -296,14 +296,14 @@
             skip_auto_headers=("Accept-Encoding", "Content-Type"),
             middlewares=(_no_resend_middleware(),) if no_resend else (),
             trace_request_ctx=may_send,
-        ) as answer:
-            data = await _read_bounded(answer)
+        ) as response:
+            data = await _read_bounded(response)
             kept = [
                 (str(name), value)
-                for name, value in answer.headers.items()
+                for name, value in response.headers.items()
                 if name.lower() not in _HOP_HEADERS
             ]
-            return ServiceResponse(answer.status, kept, data)
+            return ServiceResponse(response.status, kept, data)
     except (
         aiohttp.ClientConnectorError,
         aiohttp.ConnectionTimeoutError,
@@ -363,10 +363,10 @@
     return middleware
 
 
-async def _read_bounded(answer: aiohttp.ClientResponse) -> bytes:
+async def _read_bounded(response: aiohttp.ClientResponse) -> bytes:
     parts = []
     size = 0
-    async for part in answer.content.iter_any():
+    async for part in response.content.iter_any():
         size += len(part)
         if size > _MAX_ANSWER_BYTES:
             raise aiohttp.ClientPayloadError("response too large")
