--- a/libs/entry/src/rattanmill_entry/upstream.py
+++ b/libs/entry/src/rattanmill_entry/upstream.py
@@ -92,7 +92,7 @@
 
 
 _EVENT_DECODER = msgspec.json.Decoder(_Event)
-_HOP_HEADERS = frozenset(
+_EXCLUDED_RESPONSE_HEADERS = frozenset(
     (
         "connection",
         "content-length",
@@ -298,12 +298,12 @@
             trace_request_ctx=may_send,
         ) as response:
             data = await _read_bounded(response)
-            kept = [
+            response_headers = [
                 (str(name), value)
                 for name, value in response.headers.items()
-                if name.lower() not in _HOP_HEADERS
+                if name.lower() not in _EXCLUDED_RESPONSE_HEADERS
             ]
-            return ServiceResponse(response.status, kept, data)
+            return ServiceResponse(response.status, response_headers, data)
     except (
         aiohttp.ClientConnectorError,
         aiohttp.ConnectionTimeoutError,
--- a/tests/features/steps/ownership.py
+++ b/tests/features/steps/ownership.py
@@ -256,11 +256,11 @@
 
     def __init__(self):
         self.seconds = 0.0
-        self.silent = False
+        self.is_unavailable = False
 
     async def _answer(self, value):
         await asyncio.sleep(self.seconds)
-        return Unavailable("silent") if self.silent else value
+        return Unavailable("no response") if self.is_unavailable else value
 
     async def grant(self, seconds):
         return await self._answer("lease")
@@ -298,13 +298,13 @@
             while not lease.valid():  # noqa: ASYNC110
                 await asyncio.sleep(0.01)
             seen.append(lease.holds())
-            kv.silent = True
+            kv.is_unavailable = True
             lease.peers_known = 1
             while not lease.service_silent or lease.valid():
                 lease.peer_heard = asyncio.get_running_loop().time()
                 await asyncio.sleep(0.01)
             seen.append(lease.holds())
-            kv.silent = False
+            kv.is_unavailable = False
             while not lease.valid():  # noqa: ASYNC110
                 await asyncio.sleep(0.01)
             lease.confirm(lease.interruptions)
