--- a/tests/features/steps/config_spread.py
+++ b/tests/features/steps/config_spread.py
@@ -4,7 +4,7 @@
 import time
 
 from behave import given, then, when
-from steps.ownership import start_later
+from steps.ownership import restart_at_end
 from steps.state import background, kv_faults
 
 from support import wait_until
@@ -174,7 +174,7 @@
 def step_dies(context, index):
     instance = context.system.instances[index]
     instance.process.kill()
-    start_later(context, instance)
+    restart_at_end(context, instance)
 
 
 @when("instance {index:d} starts while it cannot reach the service")
--- a/tests/features/steps/outage.py
+++ b/tests/features/steps/outage.py
@@ -3,7 +3,7 @@
 import time
 
 from behave import then, when
-from steps.ownership import start_later
+from steps.ownership import restart_at_end
 from steps.state import kv_faults, other_in_domain, status
 
 from support import wait_until
@@ -50,7 +50,7 @@
 def step_alone(context, count):
     peer = other_in_domain(context, context.owner)
     peer.process.kill()
-    start_later(context, peer)
+    restart_at_end(context, peer)
     time.sleep(count * context.system.layout.lease_seconds)
 
 
