--- a/libs/entry/src/rattanmill_entry/budget.py
+++ b/libs/entry/src/rattanmill_entry/budget.py
@@ -1,4 +1,4 @@
-"""Budget of a program's turns: reserved before sending, settled by usage."""
+"""Token budget of a program: reserved before a call, settled by its usage."""
 
 import itertools
 import time
@@ -20,19 +20,23 @@
 )
 from rattanmill_programs.program import apply
 
-_RESERVE_SHARE = 8
+_RESERVE_AHEAD_DIVISOR = 8
 _TEMPLATE_TOKENS = 16
 
 
-class _Said(msgspec.Struct):
-    """What makes a message the same as another."""
+class _MessageContent(msgspec.Struct):
+    """The fields by which two messages are compared."""
 
     role: Any = ""
     content: Any = ""
 
 
-def limits(node: Node, program: Program, plan: Plan) -> Refusal | None:
-    """Refuses a turn beyond the program's turns, time or patience."""
+def check_limits(node: Node, program: Program, plan: Plan) -> Refusal | None:
+    """Returns a refusal if a turn exceeds the limits of its program.
+
+    Checks the number of turns, the time and the number of identical calls in
+    a row.
+    """
     made = program.made
     if len(program.turns) >= made.turns:
         detail = f"All {made.turns} turns of the budget are used."
@@ -41,37 +45,48 @@
         detail = f"The budget of {made.seconds:.0f} s has run out."
         return refuse(Reason.BUDGET_EXHAUSTED, detail)
     klass = node.config.classes.get(made.klass) or WorkClass()
-    if _repeats(program, plan) >= klass.max_repeats:
+    if _count_repeats(program, plan) >= klass.max_repeats:
         detail = f"The same call was made {klass.max_repeats} times in a row."
         return refuse(Reason.LOOP_SUSPECTED, detail)
     return None
 
 
-def _repeats(program: Program, plan: Plan) -> int:
-    """Returns how many turns in a row added what this one adds.
+def _count_repeats(program: Program, plan: Plan) -> int:
+    """Returns how many of the last turns added the same messages as this one.
 
-    A program that loops asks the same again and again, at growing cost, until
-    its budget is gone.
+    A program in a loop repeats the same request, at growing cost, until its
+    budget is spent.
     """
-    added = _said(plan.messages[plan.base :])
+    added = _message_contents(plan.messages[plan.base :])
     same = itertools.takewhile(
-        lambda turn: _said(turn.record.messages) == added,
+        lambda turn: _message_contents(turn.record.messages) == added,
         reversed(program.turns),
     )
     return sum(1 for _ in same)
 
 
-def _said(messages: list[bytes]) -> list[_Said]:
-    """Returns what messages say, without the ids that differ each time."""
-    return [msgspec.json.decode(m, type=_Said) for m in messages]
+def _message_contents(messages: list[bytes]) -> list[_MessageContent]:
+    """Returns role and content of messages, without ids that always differ."""
+    return [msgspec.json.decode(m, type=_MessageContent) for m in messages]
+
+
+async def reserve_tokens(
+    shard: Shard, program: Program, plan: Plan
+) -> Refusal | None:
+    """Reserves the maximum tokens of a turn before it is sent.
 
+    Lowers ``plan.max_tokens`` to what is left of the budget. While the
+    reservation is being committed, a sub-agent may get part of the budget.
+    Tokens held for the turn are excluded from that, and the reservation is
+    checked again after the commit.
 
-async def reserve(shard: Shard, program: Program, plan: Plan) -> Refusal | None:
-    """Reserves the most the turn can cost, ahead of sending it.
+    Args:
+        shard: Shard of the program.
+        program: The program.
+        plan: The turn.
 
-    While the reservation is being committed, a sub-agent may be given part of
-    the budget. What the turn holds is kept from it, and the reservation is
-    looked at again.
+    Returns:
+        The refusal if the tokens cannot be reserved, else None.
     """
     prompt = _prompt_bound(program, plan)
     while True:
@@ -82,20 +97,20 @@
             return refuse(Reason.BUDGET_EXHAUSTED, detail)
         plan.max_tokens = min(plan.max_tokens, left)
         program.held = prompt + plan.max_tokens
-        need = program.spent + program.held
-        if need <= program.reserved:
+        needed_tokens = program.spent + program.held
+        if needed_tokens <= program.reserved:
             return None
-        refusal = await _commit_reserve(shard, program, need)
+        refusal = await _commit_reservation(shard, program, needed_tokens)
         if refusal:
             return refusal
 
 
-async def _commit_reserve(
-    shard: Shard, program: Program, need: int
+async def _commit_reservation(
+    shard: Shard, program: Program, needed_tokens: int
 ) -> Refusal | None:
-    ahead = program.made.tokens // _RESERVE_SHARE
+    ahead = program.made.tokens // _RESERVE_AHEAD_DIVISOR
     record = BudgetReserved(
-        program.made.program, min(program.made.tokens, need + ahead)
+        program.made.program, min(program.made.tokens, needed_tokens + ahead)
     )
     appended = await shard.commit(record)
     if isinstance(appended, Committed):
@@ -103,26 +118,36 @@
     if isinstance(appended, Fenced):
         detail = "Another instance owns the program now."
         return refuse(Reason.OWNERSHIP_LOST, detail, ran=Ran.NO)
-    detail = "Budget cannot be reserved while the store is away."
+    detail = "Budget cannot be reserved while the store is unavailable."
     return refuse(Reason.BUDGET_UNRESERVED, detail)
 
 
-async def lose(shard: Shard, program: Program, plan: Plan) -> Refusal | None:
-    """Counts an attempt without an answer, and reserves another.
+async def charge_lost_attempt(
+    shard: Shard, program: Program, plan: Plan
+) -> Refusal | None:
+    """Charges an attempt without an answer and reserves tokens for another.
+
+    The engine may have generated every token of the attempt. Without the
+    charge, a program whose answers are always cut off would have no limit.
 
-    The engine may have made every token of it. Uncounted, a program whose
-    answers are cut again and again would spend without end.
+    Args:
+        shard: Shard of the program.
+        program: The program.
+        plan: The turn.
+
+    Returns:
+        The refusal if the budget allows no other attempt, else None.
     """
-    most = plan.max_tokens
+    requested_tokens = plan.max_tokens
     record = BudgetSpent(program.made.program, program.held)
     program.held = 0
-    # Not waited for: a new owner starts from what was reserved, which covers
-    # this.
+    # No need to wait for the commit: a new owner starts from the reserved
+    # tokens, which include these.
     apply(shard.programs, record)
     shard.log.enqueue(record)
-    refusal = await reserve(shard, program, plan)
-    if refusal is None and plan.max_tokens < most:
-        # The next attempt asks for as much as the first.
+    refusal = await reserve_tokens(shard, program, plan)
+    if refusal is None and plan.max_tokens < requested_tokens:
+        # The next attempt needs as many tokens as the first.
         program.held = 0
         detail = "The budget does not allow another attempt."
         refusal = refuse(Reason.BUDGET_EXHAUSTED, detail)
@@ -130,20 +155,25 @@
 
 
 def _prompt_bound(program: Program, plan: Plan) -> int:
-    """Returns the most tokens the prompt can have.
+    """Returns an upper bound of the prompt's tokens.
 
-    Messages whose tokens no usage has told yet are counted by their bytes.
+    For messages that no reported usage covers yet, each byte counts as a
+    token.
     """
-    known, tokens = _known_tokens(program, plan)
-    rest = prompt_bound(plan.messages[known:])
-    return tokens + rest + (_TEMPLATE_TOKENS if known else 0)
+    covered, tokens = _reported_usage(program, plan)
+    rest = prompt_bound(plan.messages[covered:])
+    return tokens + rest + (_TEMPLATE_TOKENS if covered else 0)
+
 
+def _reported_usage(program: Program, plan: Plan) -> tuple[int, int]:
+    """Returns how much of the prompt is covered by an engine's usage.
 
-def _known_tokens(program: Program, plan: Plan) -> tuple[int, int]:
-    """Returns how many messages of the prompt usage has counted, and tokens.
+    The engine counted the prompt of a stored turn. It did not count the
+    answer as part of a prompt, where it may have more tokens than when it was
+    generated.
 
-    The prompt of a kept turn was counted by the engine. Its answer was not:
-    read as part of a prompt, it may have more tokens than it was made of.
+    Returns:
+        Number of leading messages that are covered, and their tokens.
     """
     counted = [(0, 0)]
     for turn in program.turns:
--- a/libs/entry/src/rattanmill_entry/overlap.py
+++ b/libs/entry/src/rattanmill_entry/overlap.py
@@ -1,7 +1,8 @@
-"""Compares another run of an answer with what has been delivered of it.
+"""Compares a repeated run of an answer with the part already delivered.
 
-Engines do not promise to make the same tokens twice. A second run may go on
-where the first was cut only if it begins with all that the caller has seen.
+Engines do not guarantee the same tokens in two runs. A second run may
+continue an answer that was cut off only if it starts with all the text that
+the caller has received.
 """
 
 from collections.abc import Iterator
@@ -16,57 +17,71 @@
 
 
 class Overlap:
-    """What has been delivered, and how much of it a new run has repeated."""
+    """Tracks the delivered text, and how much of it a new run has repeated.
+
+    Attributes:
+        delivered: Delivered pieces of text, by path of the field.
+        unrepeated: Delivered text that the current run has not repeated yet,
+            by path of the field.
+    """
 
     def __init__(self) -> None:
         self.delivered: dict[_Path, list[str]] = {}
-        self.missing: dict[_Path, str] = {}
+        self.unrepeated: dict[_Path, str] = {}
 
-    def restart(self) -> None:
-        """Begins the comparison with a new run."""
-        self.missing = {k: "".join(v) for k, v in self.delivered.items()}
+    def start_run(self) -> None:
+        """Starts the comparison with a new run."""
+        self.unrepeated = {k: "".join(v) for k, v in self.delivered.items()}
 
     @property
     def is_complete(self) -> bool:
         """Whether the new run has repeated everything delivered."""
-        return not any(self.missing.values())
-
-    def take(self, fields: dict) -> dict | Mismatch:
-        """Returns the part of a delta that has not been delivered yet."""
-        for path, text in _texts(fields):
-            missing = self.missing.get(path, "")
-            count = min(len(missing), len(text))
-            if missing[:count] != text[:count]:
+        return not any(self.unrepeated.values())
+
+    def take_undelivered(self, fields: dict) -> dict | Mismatch:
+        """Returns the part of a delta to deliver, and counts it as delivered.
+
+        Args:
+            fields: The delta.
+
+        Returns:
+            The delta without the text that was delivered before; Mismatch if
+            it differs from that text.
+        """
+        for path, text in _string_fields(fields):
+            unrepeated = self.unrepeated.get(path, "")
+            count = min(len(unrepeated), len(text))
+            if unrepeated[:count] != text[:count]:
                 return Mismatch()
-        return self._rest(fields)
+        return self._strip_repeated(fields)
 
-    def _rest(self, fields: dict) -> dict:
+    def _strip_repeated(self, fields: dict) -> dict:
         rest = fields
-        for path, text in list(_texts(fields)):
-            missing = self.missing.get(path, "")
-            if missing:
-                self.missing[path] = missing[len(text) :]
-                rest = _shorten(rest, path, len(missing))
-            if new := text[len(missing) :]:
+        for path, text in list(_string_fields(fields)):
+            unrepeated = self.unrepeated.get(path, "")
+            if unrepeated:
+                self.unrepeated[path] = unrepeated[len(text) :]
+                rest = _drop_prefix(rest, path, len(unrepeated))
+            if new := text[len(unrepeated) :]:
                 self.delivered.setdefault(path, []).append(new)
         return rest
 
 
-def _texts(fields: dict, at: _Path = ()) -> Iterator[tuple[_Path, str]]:
-    """Yields path and text of each string in a delta."""
+def _string_fields(fields: dict, at: _Path = ()) -> Iterator[tuple[_Path, str]]:
+    """Yields the path and text of each string in a delta."""
     for name, value in fields.items():
         if isinstance(value, str):
             yield (*at, name), value
         elif isinstance(value, dict):
-            yield from _texts(value, (*at, name))
+            yield from _string_fields(value, (*at, name))
         elif name == "tool_calls" and isinstance(value, list):
             for call in value:
                 index = str(call.get("index", 0))
-                yield from _texts(call, (*at, name, index))
+                yield from _string_fields(call, (*at, name, index))
 
 
-def _shorten(fields: dict, path: _Path, count: int) -> dict:
-    """Returns the delta without the first letters of one of its strings."""
+def _drop_prefix(fields: dict, path: _Path, count: int) -> dict:
+    """Returns the delta without the first characters of one of its strings."""
     name, *rest = path
     value = fields[name]
     if not rest:
@@ -76,11 +91,11 @@
     if name == "tool_calls":
         index, *inner = rest
         value = [
-            _shorten(call, tuple(inner), count)
+            _drop_prefix(call, tuple(inner), count)
             if str(call.get("index", 0)) == index
             else call
             for call in value
         ]
     else:
-        value = _shorten(value, tuple(rest), count)
+        value = _drop_prefix(value, tuple(rest), count)
     return {**fields, name: value}
