--- a/tests/features/steps/views.py
+++ b/tests/features/steps/views.py
@@ -6,8 +6,8 @@
 from behave import given, then, when
 
 from rattanmill_forward import Endpoint
-from rattanmill_forward.domains import Domains
-from rattanmill_forward.endpoints import EndpointBook
+from rattanmill_forward.domains import DomainMonitor
+from rattanmill_forward.endpoints import EndpointRegistry
 from rattanmill_keeper import Member, Members, RelayedKv
 from rattanmill_keeper.mirror import Mirrors
 from rattanmill_platform import (
@@ -146,13 +146,13 @@
     store.put(context.prefix + "two", b"two")
     kv = RelayedKv(store, "east", (context.prefix,))
     kv.members = MirrorMembers(store, context.names)
-    book = EndpointBook()
+    registry = EndpointRegistry()
     watch = PrefixWatch(
         kv,
         context.prefix,
         2.5,
-        lambda key, value: book.take(_endpoint(key, context.prefix)),
-        lambda key: book.remove(key.removeprefix(context.prefix)),
+        lambda key, value: registry.update(_endpoint(key, context.prefix)),
+        lambda key: registry.remove(key.removeprefix(context.prefix)),
         BACK_SECONDS,
     )
     again = context.register_again
@@ -177,7 +177,7 @@
             if again and now() - back >= again[1]:
                 store.put(again[0], b"again")
                 again = None
-            found.append((now() - back, set(book.endpoints)))
+            found.append((now() - back, set(registry.endpoints)))
         for link in kv.members.links.values():
             await link.mirrors.__aexit__(None, None, None)
     return found
@@ -235,15 +235,15 @@
         async def try_domain(domain):
             return self.reached
 
-        domains = Domains("east", lambda: self.silences, try_domain)
-        watch = asyncio.create_task(domains.watch_for_ever())
+        domains = DomainMonitor("east", lambda: self.silences, try_domain)
+        watch = asyncio.create_task(domains.run())
         await asyncio.sleep(1.0)
-        assert self.name in domains.cut
+        assert self.name in domains.unreachable
         for change, seconds in phases:
             change()
             await asyncio.sleep(seconds)
         watch.cancel()
-        return domains.cut
+        return domains.unreachable
 
 
 @given('a front that has taken "{name}" for cut off')
--- a/tests/support/calls.py
+++ b/tests/support/calls.py
@@ -8,7 +8,7 @@
 def make_call(number: int, **fields: Any) -> Call:
     """Returns a call; ``fields`` say what matters about it."""
     return Call(
-        request=str(number),
+        request_id=str(number),
         method="POST",
         host="a",
         target="/",
