--- a/tests/features/domains.feature
+++ b/tests/features/domains.feature
@@ -1,46 +1,47 @@
-Feature: A failure domain that gets out of reach of a front
-  Nothing comes back from it, not even an error. What is placed there, and what
-  waits there, is lost until the cut ends, seconds later.
-
-  Scenario: A domain is cut off while calls run there
-    Its storage instances miss their signs of life, its endpoints send nothing
-    more. Callers of streams would wait for two seconds until they give up.
-
-    Given a front that hears domains "west, north" every 50 ms
-    When "west" is cut off for 2 seconds
-    Then "west" was taken for cut off within 700 ms
-    And "north" was not taken for cut off
-    When all is well for 1 second
-    Then no domain is taken for cut off
+Feature: A failure domain that becomes unreachable from a front end
+  It sends nothing back, not even an error. Calls that are placed or wait there
+  are lost until the partition ends, seconds later.
+
+  Scenario: A domain is partitioned while calls run there
+    The heartbeats of its storage instances are missing, and its endpoints send
+    nothing any more. Callers of streams would wait for two seconds until they
+    time out.
+
+    Given a front end that gets data from domains "west, north" every 50 ms
+    When "west" is partitioned for 2 seconds
+    Then "west" was considered unreachable within 700 ms
+    And "north" was not considered unreachable
+    When all domains are reachable for 1 second
+    Then no domain is considered unreachable
 
   Scenario: Only the storage instances of a domain are down
-    Its endpoints work. Taken for cut off, a third of all endpoints would stand
-    idle until the storage instances are back.
+    Its endpoints work. If the domain were considered unreachable, a third of
+    all endpoints would be idle until the storage instances are back.
 
-    Given a front that hears domains "west, north" every 50 ms
+    Given a front end that gets data from domains "west, north" every 50 ms
     When the storage instances of "west" are down for 3 seconds
-    Then "west" was not taken for cut off
+    Then "west" was not considered unreachable
 
-  Scenario: Only the storage instances are down, and nothing runs there
-    Given a front that has no calls in domains "west, north"
+  Scenario: Only the storage instances are down, and no calls run there
+    Given a front end that has no calls in domains "west, north"
     When the storage instances of "west" are down for 3 seconds
-    Then "west" was not taken for cut off
+    Then "west" was not considered unreachable
 
-  Scenario: What waits for a domain that is cut off
-    A stream is broken off at once, so that its caller sends the turn again. A
-    payment waits: its answer may come when the cut is over, and nobody may
-    send it a second time.
+  Scenario: Requests that wait for a domain that becomes unreachable
+    A stream is aborted at once, so that its caller sends the turn again. A
+    payment keeps waiting: its response may arrive when the partition is over.
+    It must not be sent a second time.
 
-    Given an endpoint of "west" that takes requests and is silent
-    When a stream and a payment wait for it and "west" is cut off
-    Then the stream is given up at once
-    And the payment waits on
+    Given an endpoint of "west" that accepts requests and does not respond
+    When a stream and a payment wait for it and "west" becomes unreachable
+    Then the stream is aborted at once
+    And the payment keeps waiting
 
-  Scenario: Nothing is placed into a cut
+  Scenario: No call is placed in an unreachable domain
     A payment that is sent there may run, and its caller's program fails.
 
     Given endpoints in "east", "west" and "north", of which the one in "west" is the fastest
-    When "west" has been taken for cut off
+    When "west" is marked unreachable
     Then 50 payments from "east" are placed in "east" and "north" only
-    When "east, west, north" have been taken for cut off
-    Then a payment is refused at once as not run, with a time to come back
+    When "east, west, north" are marked unreachable
+    Then a payment is refused at once as not run, with a retry delay
--- a/tests/features/site_bodies.feature
+++ b/tests/features/site_bodies.feature
@@ -1,45 +1,45 @@
-Feature: Heads and bodies of callers on the users' platform
+Feature: Heads and bodies of requests on the users' platform
   What a caller sends may be slow, long, or made to look like two requests.
 
   Background:
     Given a system on the users' platform
 
-  Scenario: A head that does not end
-    A caller sends half a head and nothing more. Held open for each such
-    caller, connections would run out for all others.
+  Scenario: A request head that does not end
+    A caller sends half a head and nothing more. If connections stayed open for
+    such callers, none would be left for others.
 
     Given a configuration with "header_timeout_ms" of 300
-    When half a head is sent to "east"
+    When half a request head is sent to "east"
     Then the connection is answered with 408 and closed
 
   Scenario: A body that does not end
-    A caller announces a body and sends half of it. Waited for without bound,
-    the request would stay open beyond its route's time.
+    A caller announces a body and sends half of it. Without a timeout, the
+    request would stay open beyond the timeout of its route.
 
     When a payment announces 100 bytes and sends 50
     Then the connection is answered with 408
-    And no runner has seen it
+    And no endpoint received it
 
-  Scenario: A caller that waits to be asked for its body
-    It holds the body back until it is told to go on. Nobody telling it, both
-    sides would wait until the caller gives up.
+  Scenario: A caller waits for permission to send its body
+    It holds the body back until it is asked to continue. If it were never
+    asked, both sides would wait until the caller times out.
 
     When a payment that expects "100-continue" is sent to "east"
-    Then the caller is told to go on, and then answered with 200
-    And the runner has got its body and no expectation
+    Then the caller is asked to continue, and is then answered with 200
+    And the endpoint received its body and no Expect header
 
-  Scenario: An expectation that nobody can meet
+  Scenario: An unsupported expectation
     When a payment that expects "miracles" is sent to "east"
     Then the connection is answered with 400
-    And no runner has seen it
+    And no endpoint received it
 
-  Scenario Outline: A request inside another one's body
-    Two readers that disagree on where a body ends would take what is inside
-    for a request of its own, which no caller has sent.
+  Scenario Outline: A request inside the body of another request
+    Guards against request smuggling: two parsers that disagree on where a body
+    ends would treat its content as a request that no caller has sent.
 
-    When a request framed by <framing> hides another one
+    When a request framed by <framing> contains another request
     Then the connection is answered with 400
-    And no runner has seen it or the hidden one
+    And no endpoint received it or the hidden request
 
     Examples:
       | framing       |
@@ -48,28 +48,28 @@
       | a bad chunk   |
       | a signed size |
 
-  Scenario: A long body goes on as it arrives
-    The runner answers before the body is in. A front that waited for all of
-    it would hold the whole body, and the answer back.
+  Scenario: A long body is forwarded as it arrives
+    The endpoint responds before it has the whole body. A front end that waited
+    for all of it would hold back the whole body, and the response.
 
-    Given every desk will "early"
+    Given every desk endpoint has the fault "early"
     When a payment announces 90000 bytes and sends 70000
     Then the connection is answered with 200
 
   Scenario: A long body without a length
     When a payment of 90000 bytes in chunks is sent to "east"
     Then the connection is answered with 200
-    And the runner has got all 90000 bytes
+    And the endpoint received all 90000 bytes
 
-  Scenario: A long body without a length beyond the operators' bound
+  Scenario: A long body without a length exceeds the configured limit
     When a payment of 110000 bytes in chunks is sent to "east"
     Then the connection is answered with 413
 
-  Scenario: A runner sheds a request whose long body has gone to it
-    Its body can't be sent again. Told anything but that it has not run, the
-    caller could not send it again either.
+  Scenario: An endpoint sheds a request after its long body was forwarded
+    The body can't be sent again. Unless the caller is told that the request
+    has not run, it could not send it again either.
 
-    Given every desk will "shed"
+    Given every desk endpoint has the fault "shed"
     When a payment of 90000 bytes in chunks is sent to "east"
     Then the connection is answered with 503
-    And it was offered to one runner
+    And it was sent to one endpoint
--- a/tests/features/site_lookups.feature
+++ b/tests/features/site_lookups.feature
@@ -1,55 +1,57 @@
-Feature: Kept turns on storage instances that a front has not heard of
-  Each front learns of storage instances from the store, at its own time. For
-  a while one keeps turns where another does not look.
+Feature: Turns stored on storage instances that a front end does not know yet
+  Each front end learns of storage instances from the store, at its own time.
+  For a while, one stores turns where another does not search.
 
   Background:
     Given a system on the users' platform
-    And every front knows every storage instance
+    And every front end knows every storage instance
 
-  Scenario: A front that has not heard of new storage instances
-    All that it knows say that they don't have the turn. Told "no such turn",
-    the caller gives up on a conversation that was answered whole.
+  Scenario: A front end does not know new storage instances
+    All instances that it knows say that they don't have the turn. If the caller
+    were told "no such turn", it would give up a conversation that was answered
+    completely.
 
-    Given the watches of the front of "west" and of all storage instances are held back
+    Given the watches of the front end of "west" and of all storage instances are delayed
     When a storage instance joins in each domain
-    And a conversation through "east" is kept on the new ones alone
+    And a conversation through "east" is stored only on the new instances
     And its next turn is sent to "west"
-    Then the front of "west" had not heard of the new ones when it was asked
+    Then the front end of "west" did not know the new instances when it got the request
     And it is answered with 200
-    And the runner got the whole conversation
+    And the endpoint received the whole conversation
 
-  Scenario: A front that has not heard of new ones, and the store is silent
-    Nobody that it reaches can tell it what it lacks. It must say so at once,
-    while the caller still has time to ask another front.
+  Scenario: A front end does not know new instances, and the store is unresponsive
+    No instance that it reaches knows the new ones. It must refuse the turn at
+    once, while the caller still has time to try another front end.
 
-    Given the store is silent towards the front of "west" and all storage instances
+    Given the store does not respond to the front end of "west" and all storage instances
     When a storage instance joins in each domain
-    And a conversation through "east" is kept on the new ones alone
+    And a conversation through "east" is stored only on the new instances
     And its next turn is sent to "west"
-    Then the front of "west" had not heard of the new ones when it was asked
-    And it is refused with 503 for "turn_unsure" while its caller waits
-    And no runner has seen it
-    When the store answers all again
+    Then the front end of "west" did not know the new instances when it got the request
+    And it is refused with 503 for "turn_unsure" before its caller times out
+    And no endpoint received it
+    When the store responds to all again
     Then its next turn is answered with 200 by "west", and with 503 until then
-    And the runner got the whole conversation
+    And the endpoint received the whole conversation
 
-  Scenario: A front that reads the store through instances that are late
-    The store turns it away. Those that it reads through have had answers, but
-    not yet the news; what they list is no proof that nobody else is there.
+  Scenario: A front end reads the store through instances with delayed watches
+    The store rejects it. The instances through which it reads get responses
+    without the latest change; their list does not prove that there are no
+    other instances.
 
-    Given the front of "west" reads the store through storage instances whose watches are held back
+    Given the front end of "west" reads the store through storage instances whose watches are delayed
     When a storage instance joins in each domain
-    And a conversation through "east" is kept on the new ones alone
-    And the front of "west" takes its list for current
+    And a conversation through "east" is stored only on the new instances
+    And the front end of "west" considers its list current
     And its next turn is sent to "west"
-    Then the front of "west" had not heard of the new ones when it was asked
-    And it is refused with 503 for "turn_unsure" while its caller waits
-    And no runner has seen it
-    When the store answers all again
+    Then the front end of "west" did not know the new instances when it got the request
+    And it is refused with 503 for "turn_unsure" before its caller times out
+    And no endpoint received it
+    When the store responds to all again
     Then its next turn is answered with 200 by "west", and with 503 until then
-    And the runner got the whole conversation
+    And the endpoint received the whole conversation
 
-  Scenario: A turn that never was, and all are there
-    Told to come back, callers would ask for it for ever.
+  Scenario: An unknown turn, and all instances are reachable
+    If callers were told to retry, they would ask for it forever.
 
-    Then a turn after the unknown "feedfeedfeedfeed" is answered with 404 at every front
+    Then a turn that continues the unknown turn "feedfeedfeedfeed" is answered with 404 at every front end
--- a/tests/features/site_store.feature
+++ b/tests/features/site_store.feature
@@ -1,51 +1,53 @@
-Feature: The platform's store misbehaves
-  What a front does follows from what it last heard of the store.
+Feature: Faults of the platform's store
+  What a front end does depends on the last state that it got from the store.
 
   Background:
     Given a system on the users' platform
 
-  Scenario: Waiting watches go silent
-    Their connections stay open, but nothing comes any more, while new calls
-    are answered. A front that trusts them works by old rules for ever.
+  Scenario: Open watches stop delivering
+    Their connections stay open, but deliver nothing any more, while new
+    requests are answered. A front end that relies on them would use an outdated
+    configuration forever.
 
-    When all waiting watches go silent
-    And bodies are bounded at 50 bytes
-    Then a payment of 51 bytes is answered with 413 at every front
+    When all open watches stop delivering
+    And bodies are limited to 50 bytes
+    Then a payment of 51 bytes is answered with 413 at every front end
 
-  Scenario: The store turns one front away
-    It serves everybody else, the operators too. Their next change must be in
-    force at that front as well.
+  Scenario: The store rejects one front end
+    It serves all others, including the operators. Their next change must take
+    effect at that front end as well.
 
-    When the store turns the front of "east" away
-    And bodies are bounded at 50 bytes
-    Then a payment of 51 bytes is answered with 413 at every front
-    And the front of "east" read the store through a storage instance
+    When the store rejects the front end of "east"
+    And bodies are limited to 50 bytes
+    Then a payment of 51 bytes is answered with 413 at every front end
+    And the front end of "east" read the store through a storage instance
 
-  Scenario: No storage instance answers
-    Fronts read the store through them. With all of them down, the operators'
-    next change must be in force all the same.
+  Scenario: No storage instance responds
+    Front ends read the store through them. With all of them down, the
+    operators' next change must still take effect.
 
     When all storage instances are killed
-    And bodies are bounded at 50 bytes
-    Then a payment of 51 bytes is answered with 413 at every front
-    And the front of "east" reads the store directly
+    And bodies are limited to 50 bytes
+    Then a payment of 51 bytes is answered with 413 at every front end
+    And the front end of "east" reads the store directly
 
-  Scenario: A storage instance does not hear the store any more
-    It has not noticed yet, and tells those that ask it that nothing is new. A
-    front that believes only this one works by old rules.
+  Scenario: A storage instance gets no more changes from the store
+    It has not noticed yet, and reports that there are no changes. A front end
+    that relies on this one alone would use an outdated configuration.
 
-    When the store is silent towards the storage instance of "east"
-    And bodies are bounded at 50 bytes
-    Then a payment of 51 bytes is answered with 413 at every front
+    When the store does not respond to the storage instance of "east"
+    And bodies are limited to 50 bytes
+    Then a payment of 51 bytes is answered with 413 at every front end
     And the storage instance of "east" had not noticed
 
-  Scenario: Runners' entries lapse while the store is away
-    The runners live and work, but could not renew. Taken for gone, they leave
-    callers with nobody to ask; kept for ever, calls go where nobody is.
+  Scenario: Endpoints' entries expire while the store is unreachable
+    The endpoints are running, but could not renew their entries. If they were
+    removed, callers would have no endpoint; if they were kept forever, calls
+    would be sent to endpoints that no longer exist.
 
-    When the store is away and the entries of the desks lapse
-    Then payments at every front are answered with 200
-    When the store is back, and so are the entries of "desk-0, desk-1"
-    Then no front has taken "desk-0, desk-1" for gone
-    And payments at every front are answered with 200
+    When the store is unreachable and the entries of the desk endpoints expire
+    Then payments at every front end are answered with 200
+    When the store and the entries of "desk-0, desk-1" are back
+    Then no front end has removed "desk-0, desk-1"
+    And payments at every front end are answered with 200
     And payments reach only "desk-0, desk-1" within 10 seconds
--- a/tests/features/steps/domains.py
+++ b/tests/features/steps/domains.py
@@ -84,17 +84,17 @@
                 domains.record_activity(name)
 
 
-@given('a front that hears domains "{names}" every 50 ms')
+@given('a front end that gets data from domains "{names}" every 50 ms')
 def step_hears(context, names):
     context.watched = Watched(Weather(names.split(", "), True))
 
 
-@given('a front that has no calls in domains "{names}"')
+@given('a front end that has no calls in domains "{names}"')
 def step_no_calls(context, names):
     context.watched = Watched(Weather(names.split(", "), False))
 
 
-@when('"{name}" is cut off for {seconds:d} seconds')
+@when('"{name}" is partitioned for {seconds:d} seconds')
 def step_cut(context, name, seconds):
     context.watched.phases.append(({"cut": name}, seconds))
     context.left = run_virtually(context.watched.play())
@@ -106,24 +106,24 @@
     context.left = run_virtually(context.watched.play())
 
 
-@when("all is well for 1 second")
+@when("all domains are reachable for 1 second")
 def step_well(context):
     context.watched.phases.append(({}, 1.0))
     context.left = run_virtually(context.watched.play())
 
 
-@then('"{name}" was taken for cut off within {most:d} ms')
-def step_noticed(context, name, most):
+@then('"{name}" was considered unreachable within {max_ms:d} ms')
+def step_noticed(context, name, max_ms):
     took = context.watched.cut_after[name]
-    assert took * 1000 <= most, took
+    assert took * 1000 <= max_ms, took
 
 
-@then('"{name}" was not taken for cut off')
+@then('"{name}" was not considered unreachable')
 def step_not_noticed(context, name):
     assert name not in context.watched.cut_after, context.watched.cut_after
 
 
-@then("no domain is taken for cut off")
+@then("no domain is considered unreachable")
 def step_none(context):
     assert not context.left, context.left
 
@@ -140,12 +140,12 @@
     )
 
 
-@given('an endpoint of "{domain}" that takes requests and is silent')
+@given('an endpoint of "{domain}" that accepts requests and does not respond')
 def step_silent(context, domain):
     context.domain = domain
 
 
-@when('a stream and a payment wait for it and "west" is cut off')
+@when('a stream and a payment wait for it and "west" becomes unreachable')
 def step_wait(context):
     async def wait():
         async def serve(reader, writer):
@@ -187,12 +187,12 @@
     context.stream, context.payment = asyncio.run(wait())
 
 
-@then("the stream is given up at once")
+@then("the stream is aborted at once")
 def step_given_up(context):
     assert isinstance(context.stream, OutcomeUnknown), context.stream
 
 
-@then("the payment waits on")
+@then("the payment keeps waiting")
 def step_waits(context):
     assert context.payment is None, context.payment
 
@@ -219,8 +219,8 @@
     context.cut = set()
 
 
-@when('"{names}" has been taken for cut off')
-@when('"{names}" have been taken for cut off')
+@when('"{names}" is marked unreachable')
+@when('"{names}" are marked unreachable')
 def step_taken(context, names):
     context.cut = set(names.split(", "))
 
@@ -263,7 +263,7 @@
     assert set(_place(context, count)) <= {"east", "north"}
 
 
-@then("a payment is refused at once as not run, with a time to come back")
+@then("a payment is refused at once as not run, with a retry delay")
 def step_refused(context):
     (refusal,) = _place(context, 1)
     assert isinstance(refusal, Refusal), refusal
--- a/tests/features/steps/site.py
+++ b/tests/features/steps/site.py
@@ -73,17 +73,17 @@
     context.feature_site = context.feature.site
 
 
-@given('runner "{name}" will {faults}')
+@given('endpoint "{name}" has the faults {faults}')
 def step_runner(context, name, faults):
     site(context).runner(name, *(f.strip(' "') for f in faults.split(",")))
 
 
-@given('every desk will "{fault}"')
+@given('every desk endpoint has the fault "{fault}"')
 def step_desks(context, fault):
     _all(context, "desk", fault)
 
 
-@given('every engine will "{fault}"')
+@given('every engine has the fault "{fault}"')
 def step_engines(context, fault):
     _all(context, "llm", fault)
 
@@ -112,7 +112,9 @@
     turn(context, domain, text, program, X_Previous_Turn=context.request)
 
 
-@when('a turn after the unknown "{previous}" is sent to "{domain}"')
+@when(
+    'a turn that continues the unknown turn "{previous}" is sent to "{domain}"'
+)
 def step_other_turn(context, previous, domain):
     turn(context, domain, "two", "unknown", X_Previous_Turn=previous)
 
@@ -124,9 +126,9 @@
 
 @when(
     'turns of program "{program}" with a budget of {budget:d} tokens,'
-    " {most:d} at most each, are sent to all fronts until one is refused"
+    " {max_tokens:d} at most each, are sent to all front ends until one is refused"
 )
-def step_budget(context, program, budget, most):
+def step_budget(context, program, budget, max_tokens):
     context.used = 0
     for number in range(20):
         turn(
@@ -135,7 +137,7 @@
             f"turn {number} ",
             program,
             X_Token_Budget=str(budget),
-            X_Token_Usage=f"10,{most}",
+            X_Token_Usage=f"10,{max_tokens}",
         )
         if context.answer.status != 200:
             return
@@ -158,7 +160,9 @@
     context.paid = [pay(context, domain) for _ in range(count)]
 
 
-@when('look-ups are sent to "{domain}" until a desk has lost its answer')
+@when(
+    'look-ups are sent to "{domain}" until a desk endpoint has lost its response'
+)
 def step_look_up(context, domain):
     for _ in range(50):
         context.request, context.answer = site(context).ask(
@@ -184,7 +188,7 @@
     assert context.answer.status == status, (context.request, context.answer)
 
 
-@then("it is answered with {status:d} within its route's time")
+@then("it is answered with {status:d} within its route's timeout")
 def step_status_in_time(context, status):
     # The runner would have answered with 200 after twice that time.
     assert context.answer.status == status, context.answer
@@ -196,12 +200,14 @@
     assert not wrong, wrong
 
 
-@then("the connection ends without a complete answer")
+@then("the connection ends without a complete response")
 def step_cut(context):
     assert context.answer.status == 0, context.answer
 
 
-@then('the runner got the first turn\'s input and events, and then "{text}"')
+@then(
+    'the endpoint received the first turn\'s input and events, and then "{text}"'
+)
 def step_chain(context, text):
     _, first_text, first_answer = context.first
     data = [
@@ -215,17 +221,17 @@
     assert data, first_answer
 
 
-@then("no runner has seen it")
+@then("no endpoint received it")
 def step_unseen(context):
     assert not site(context).seen(context.request)
 
 
-@then("the turns before used {tokens:d} tokens at most")
+@then("the earlier turns used at most {tokens:d} tokens")
 def step_used(context, tokens):
     assert 0 < context.used <= tokens, context.used
 
 
-@then("the runner has seen none of the forged headers")
+@then("the endpoint received none of the forged headers")
 def step_no_forged(context):
     (seen,) = site(context).seen(context.request)
     assert not set(_OURS) & set(seen["headers"]), seen
@@ -244,7 +250,7 @@
     assert len(site(context).seen(context.request)) == 1
 
 
-@then("each answer names the desk that ran it")
+@then("each response names the endpoint that ran it")
 def step_own_answer(context):
     for request, answer in context.paid:
         ran = [s["runner"] for s in site(context).seen(request)]
@@ -261,7 +267,7 @@
     assert ids == list(range(1, last + 1)), ids
 
 
-@given('runner "{name}" says that it is draining')
+@given('endpoint "{name}" is registered as draining')
 def step_draining(context, name):
     service, _, index = name.partition("-")
     site(context).register(name, service, int(index), state="draining")
@@ -286,7 +292,7 @@
     wait_until(only_allowed, "payments avoid it", float(seconds))
 
 
-@given("forged entries among the runners")
+@given("forged entries among the registered endpoints")
 def step_forged_entries(context):
     for key, value in (
         ("servers/forged-1", b"\xff\xfe no text"),
@@ -311,8 +317,8 @@
 
 
 @given(
-    "the store forgets its history and gets a configuration that bounds"
-    " bodies at {size:d} bytes"
+    "the store compacts its history and gets a configuration that limits"
+    " bodies to {size:d} bytes"
 )
 def step_compact(context, size):
     site(context).store.request("POST", "/compact", {})
@@ -320,7 +326,9 @@
     context.scenario_stack.callback(site(context).configure)
 
 
-@then("a payment of {size:d} bytes is answered with {status:d} at every front")
+@then(
+    "a payment of {size:d} bytes is answered with {status:d} at every front end"
+)
 def step_size_everywhere(context, size, status):
     for domain in _DOMAINS:
         wait_until(
@@ -346,7 +354,7 @@
     )
 
 
-@when("a caller sends a payment and keeps its connection")
+@when("a caller sends a payment and keeps its connection open")
 def step_keep_connection(context):
     host, _, port = site(context).front("east").rpartition(":")
     context.connection = http.client.HTTPConnection(host, int(port), timeout=20)
@@ -359,15 +367,15 @@
     assert context.connection.getresponse().read()
 
 
-@then("the connection is closed by the front")
+@then("the connection is closed by the front end")
 def step_closed(context):
     assert context.connection.sock.recv(1) == b""
     context.connection.close()
 
 
 @when(
-    'a payment that takes 2 seconds runs at "{domain}" and the front is told'
-    " to end"
+    'a payment that takes 2 seconds runs at "{domain}" and the front end is'
+    " terminated"
 )
 def step_end_front(context, domain):
     # Its own time-out is far off, so that the front's end alone could cut it.
@@ -411,15 +419,15 @@
     assert context.was_unready
 
 
-@then("the front ends by itself")
+@then("the front end exits by itself")
 def step_ends(context):
     assert context.front.wait(30.0) == 0
     assert context.front.events("drained")[-1]["cut"] == 0
 
 
 @when(
-    'the front of "{domain}" starts again and is told of new settings before'
-    " it has read any"
+    'the front end of "{domain}" restarts and gets a reload signal before it'
+    " has read its settings"
 )
 def step_hang_up_early(context, domain):
     front = site(context).processes[f"front-{domain}"]
@@ -443,8 +451,8 @@
 
 
 @when(
-    "a front is started with settings that lack its addresses and have a"
-    " wrong IP address"
+    "a front end is started with settings that lack its addresses and have an"
+    " invalid IP address"
 )
 def step_wrong_settings(context):
     with tempfile.NamedTemporaryFile("w", suffix=".conf") as file:
@@ -476,7 +484,7 @@
 
 @when(
     'turns of program "{program}" are sent to "{domain}" while one holder of'
-    " its account, then two, are killed and started again"
+    " its account, then two, are killed and restarted"
 )
 def step_kill_holders(context, program, domain):
     context.used = 0
@@ -513,6 +521,6 @@
     assert context.used <= 200, context.used
 
 
-@then("a turn is answered with 200 in the end")
+@then("a turn is finally answered with 200")
 def step_in_the_end(context):
     assert context.last_status == 200
--- a/tests/features/steps/site_bodies.py
+++ b/tests/features/steps/site_bodies.py
@@ -54,7 +54,7 @@
         )
 
 
-@when('half a head is sent to "{domain}"')
+@when('half a request head is sent to "{domain}"')
 def step_half_head(context, domain):
     connect(context, domain).sendall(b"POST /pay/a HTTP/1.1\r\nHost: te")
 
@@ -85,7 +85,7 @@
     sock.sendall(head(context, "Content-Length: 4", f"Expect: {what}"))
 
 
-@then("the caller is told to go on, and then answered with {status:d}")
+@then("the caller is asked to continue, and is then answered with {status:d}")
 def step_told(context, status):
     told = context.sock.recv(25, socket.MSG_WAITALL)
     assert told == b"HTTP/1.1 100 Continue\r\n\r\n", told
@@ -93,7 +93,7 @@
     step_answered(context, status)
 
 
-@then("the runner has got its body and no expectation")
+@then("the endpoint received its body and no Expect header")
 def step_got_body(context):
     (seen,) = site(context).seen(context.request)
     assert seen["body"] == "body", seen
@@ -107,7 +107,7 @@
     ).encode()
 
 
-@when("a request framed by {framing} hides another one")
+@when("a request framed by {framing} contains another request")
 def step_smuggle(context, framing):
     inside = hidden()
     chunked = "Transfer-Encoding: chunked"
@@ -126,7 +126,7 @@
     connect(context).sendall(head(context, *lines) + body)
 
 
-@then("no runner has seen it or the hidden one")
+@then("no endpoint received it or the hidden request")
 def step_not_seen(context):
     assert not site(context).seen(context.request)
     assert not site(context).seen("hidden01")
@@ -160,14 +160,14 @@
     sock.sendall(b"0\r\n\r\n")
 
 
-@then("the runner has got all {size:d} bytes")
+@then("the endpoint received all {size:d} bytes")
 def step_got_all(context, size):
     (seen,) = site(context).seen(context.request)
     assert len(context.body) == size
     assert seen["body"].encode("latin-1") == context.body
 
 
-@then("it was offered to one runner")
+@then("it was sent to one endpoint")
 def step_offered_once(context):
     (seen,) = site(context).seen(context.request)
     assert seen["fault"] == "shed", seen
--- a/tests/features/steps/site_logs.py
+++ b/tests/features/steps/site_logs.py
@@ -104,7 +104,10 @@
     return lambda second: take(1)
 
 
-@then("at most 600 decisions are written, all others, and a count of the rest")
+@then(
+    "at most 600 decisions, all warnings and refusals, and a count of the"
+    " dropped lines are written"
+)
 def step_bounded(context):
     events = [line["event"] for line in context.lines]
     assert events.count("placed") <= 600, events.count("placed")
@@ -129,6 +132,6 @@
     os.close(writer)
 
 
-@then("the process goes on and counts what it left out")
+@then("the process continues and counts the dropped lines")
 def step_goes_on(context):
     assert context.left_out
--- a/tests/features/steps/site_lookups.py
+++ b/tests/features/steps/site_lookups.py
@@ -45,7 +45,7 @@
     return names <= seen
 
 
-@given("every front knows every storage instance")
+@given("every front end knows every storage instance")
 def step_all_known(context):
     if not hasattr(context.feature, "newest"):
         context.feature.newest = 1
@@ -58,8 +58,8 @@
 
 
 @given(
-    'the watches of the front of "{domain}" and of all storage instances are'
-    " held back"
+    'the watches of the front end of "{domain}" and of all storage instances'
+    " are delayed"
 )
 def step_hold_back(context, domain):
     """Storage instances that have heard would tell the front."""
@@ -69,8 +69,8 @@
 
 
 @given(
-    'the store is silent towards the front of "{domain}" and all storage'
-    " instances"
+    'the store does not respond to the front end of "{domain}" and all'
+    " storage instances"
 )
 def step_mute(context, domain):
     context.scenario_stack.callback(repair, context)
@@ -87,8 +87,8 @@
 
 
 @given(
-    'the front of "{domain}" reads the store through storage instances whose'
-    " watches are held back"
+    'the front end of "{domain}" reads the store through storage instances'
+    " whose watches are delayed"
 )
 def step_late_relays(context, domain):
     context.scenario_stack.callback(repair, context)
@@ -124,7 +124,7 @@
         )
 
 
-@when('a conversation through "{domain}" is kept on the new ones alone')
+@when('a conversation through "{domain}" is stored only on the new instances')
 def step_converse(context, domain):
     wait_until(
         lambda: knows(front(context, domain), new_ones(context)),
@@ -204,7 +204,7 @@
     return dict(zip(addresses, asyncio.run(ask_all()), strict=True))
 
 
-@when('the front of "{domain}" takes its list for current')
+@when('the front end of "{domain}" considers its list current')
 def step_current(context, domain):
     def is_current():
         lines = front(context, domain).lines()
@@ -220,7 +220,10 @@
     talk(context, domain, "three")
 
 
-@then('the front of "{domain}" had not heard of the new ones when it was asked')
+@then(
+    'the front end of "{domain}" did not know the new instances when it got the'
+    " request"
+)
 def step_unheard(context, domain):
     def lines_before():
         lines = front(context, domain).lines()
@@ -235,7 +238,7 @@
     assert not heard & new_ones(context), heard
 
 
-@then("the runner got the whole conversation")
+@then("the endpoint received the whole conversation")
 def step_whole(context):
     expected = b""
     for text, answer in context.conversation:
@@ -251,7 +254,9 @@
     assert body == expected + b"three", (body, expected)
 
 
-@then('it is refused with {status:d} for "{reason}" while its caller waits')
+@then(
+    'it is refused with {status:d} for "{reason}" before its caller times out'
+)
 def step_refused(context, status, reason):
     def refusals():
         return [
@@ -267,7 +272,7 @@
     assert refusal["after_ms"] < _PATIENCE_MS, refusal
 
 
-@when("the store answers all again")
+@when("the store responds to all again")
 def step_answers_again(context):
     repair(context)
 
@@ -287,8 +292,8 @@
 
 
 @then(
-    'a turn after the unknown "{turn}" is answered with {status:d} at every'
-    " front"
+    'a turn that continues the unknown turn "{turn}" is answered with'
+    " {status:d} at every front end"
 )
 def step_never_was(context, turn, status):
     context.program = "never"
--- a/tests/features/steps/site_placing.py
+++ b/tests/features/steps/site_placing.py
@@ -79,8 +79,8 @@
 
 
 @given(
-    'engines "{names}" that take {one:f}, {two:f} and {three:f} of the usual'
-    " time"
+    'engines "{names}" that take {one:f}, {two:f} and {three:f} of the'
+    " average time"
 )
 def step_engines(context, names, one, two, three):
     context.paces = dict(zip(names.split(", "), (one, two, three), strict=True))
@@ -105,7 +105,7 @@
     )
 
 
-@when("{count:d} turns with 5000 tokens to read are sent at once")
+@when("{count:d} turns with 5000 prompt tokens are sent at once")
 def step_send(context, count):
     async def send():
         front = Front(context.paces)
@@ -116,7 +116,7 @@
     context.placed = collections.Counter(run_virtually(send()))
 
 
-@then("each engine gets at least {least:d} and at most {most:d} of them")
+@then("each engine gets at least {minimum:d} and at most {maximum:d} of them")
 def step_spread(context, minimum, maximum):
     for name in context.paces:
         assert minimum <= context.placed[name] <= maximum, context.placed
@@ -169,6 +169,6 @@
         """Takes the end of a run."""
 
 
-@then('"{name}" is not taken for faster than "{other}"')
+@then('"{name}" is not estimated as faster than "{other}"')
 def step_not_faster(context, name, other):
     assert context.learned[name] >= context.learned[other], context.learned
--- a/tests/features/steps/site_quarantine.py
+++ b/tests/features/steps/site_quarantine.py
@@ -38,7 +38,7 @@
     )
 
 
-@when("a poisoned payment has crashed a desk through each front")
+@when("a poisoned payment has crashed a desk endpoint through each front end")
 def step_poison(context):
     context.scenario_stack.callback(start_again, context)
     for number, domain in enumerate(_DOMAINS):
@@ -49,7 +49,7 @@
         )
 
 
-@when("the fronts have heard of each other's crashes")
+@when("the front ends know each other's crashes")
 def step_heard(context):
     for domain in _DOMAINS:
         wait_until(
@@ -58,12 +58,12 @@
         )
 
 
-@when("the desks are started again")
+@when("the desk endpoints are restarted")
 def step_start(context):
     start_again(context)
 
 
-@then("the poisoned payment is refused with {status:d} at every front")
+@then("the poisoned payment is refused with {status:d} at every front end")
 def step_refused(context, status):
     context.refused = []
     for domain in _DOMAINS:
@@ -73,13 +73,13 @@
         context.refused.append(request)
 
 
-@then("no desk has seen it, and none is gone")
+@then("no desk endpoint received it, and none has terminated")
 def step_unseen(context):
     assert not any(map(site(context).seen, context.refused))
     assert not dead(context)
 
 
-@then("other payments are answered with {status:d} at every front")
+@then("other payments are answered with {status:d} at every front end")
 def step_others(context, status):
     for domain in _DOMAINS:
         wait_until(
@@ -94,7 +94,9 @@
     return request
 
 
-@when("a look-up has lost its desk {count:d} times and was answered by another")
+@when(
+    "a look-up has lost its endpoint {count:d} times and was answered by another"
+)
 def step_lose(context, count):
     context.scenario_stack.callback(start_again, context)
     for _ in range(count):
@@ -108,7 +110,7 @@
         start_again(context)
 
 
-@then("the look-up is answered at every front")
+@then("the look-up is answered at every front end")
 def step_looked_up(context):
     for domain in _DOMAINS:
         look_up(context, domain)
--- a/tests/features/steps/site_store.py
+++ b/tests/features/steps/site_store.py
@@ -23,19 +23,19 @@
     )
 
 
-@when("all waiting watches go silent")
+@when("all open watches stop delivering")
 def step_silent(context):
     status = site(context).store.request("POST", "/silence", {}).status
     assert status == 200, status
 
 
-@when("bodies are bounded at {size:d} bytes")
+@when("bodies are limited to {size:d} bytes")
 def step_bound(context, size):
     site(context).configure(max_body_bytes=size)
     context.scenario_stack.callback(site(context).configure)
 
 
-@when('the store turns the front of "{domain}" away')
+@when('the store rejects the front end of "{domain}"')
 def step_refuse(context, domain):
     host, _, _ = site(context).front(domain).rpartition(":")
     site(context).faults(refuse_sources=[host])
@@ -54,7 +54,7 @@
     context.scenario_stack.callback(start)
 
 
-@when('the store is silent towards the storage instance of "{domain}"')
+@when('the store does not respond to the storage instance of "{domain}"')
 def step_mute(context, domain):
     host, _, _ = site(context).front(domain).rpartition(".")
     site(context).faults(silent_sources=[f"{host}.2"])
@@ -68,12 +68,12 @@
     assert lost == context.lost, (lost, context.lost)
 
 
-@then('the front of "{domain}" read the store through a storage instance')
+@then('the front end of "{domain}" read the store through a storage instance')
 def step_relayed(context, domain):
     assert front(context, domain).events("store_relayed")
 
 
-@then('the front of "{domain}" reads the store directly')
+@then('the front end of "{domain}" reads the store directly')
 def step_direct(context, domain):
     wait_until(
         lambda: front(context, domain).events("store_direct"),
@@ -81,7 +81,7 @@
     )
 
 
-@when("the store is away and the entries of the desks lapse")
+@when("the store is unreachable and the entries of the desk endpoints expire")
 def step_lapse(context):
     context.scenario_stack.callback(register, context, _DESKS)
     context.scenario_stack.callback(repair, context)
@@ -105,14 +105,14 @@
         site(context).register(name, service, int(index))
 
 
-@then("payments at every front are answered with {status:d}")
+@then("payments at every front end are answered with {status:d}")
 def step_pay_everywhere(context, status):
     for domain in _DOMAINS * 3:
         _, answer = pay(context, domain)
         assert answer.status == status, answer
 
 
-@when('the store is back, and so are the entries of "{names}"')
+@when('the store and the entries of "{names}" are back')
 def step_back(context, names):
     back = {d: len(front(context, d).events("watch_back")) for d in _DOMAINS}
     repair(context)
@@ -126,7 +126,7 @@
     register(context, names.split(", "))
 
 
-@then('no front has taken "{names}" for gone')
+@then('no front end has removed "{names}"')
 def step_not_gone(context, names):
     for domain in _DOMAINS:
         gone = {
