--- a/libs/forward/src/rattanmill_forward/dispatch.py
+++ b/libs/forward/src/rattanmill_forward/dispatch.py
@@ -248,9 +248,9 @@
     def _candidates(self, job: Job) -> list[Endpoint]:
         """Returns the endpoints that may get a call, preferring healthy ones.
 
-        An endpoint at which the call may have run gets it again only if no
-        other endpoint can, although each further endpoint counts against the
-        route's maximum number of attempts.
+        Each further endpoint counts against the route's maximum number of
+        attempts. An endpoint at which the call may have run gets it again only
+        if no other endpoint can get it.
         """
         endpoints = self.registry.by_service.get(job.service.name, ())
         if not job.has_attempts_left:
--- a/tests/features/steps/domains.py
+++ b/tests/features/steps/domains.py
@@ -1,4 +1,4 @@
-"""Steps about failure domains that get out of reach, in virtual time."""
+"""Steps about failure domains that become unreachable, in virtual time."""
 
 import asyncio
 
@@ -16,119 +16,123 @@
 from support.calls import make_call
 from support.virtual import run_virtually
 
-_STEP_SECONDS = 0.05
+_TICK_SECONDS = 0.05
 
 
-class Weather(msgspec.Struct):
-    """What a front hears, played in virtual time.
+class Conditions(msgspec.Struct):
+    """What a front end receives, simulated in virtual time.
 
     Attributes:
         names: Domains.
         calls: Whether calls run there, which bring bytes.
         storage_down: Domain whose storage instances are down, or empty.
-        cut: Domain that is cut off, or empty.
+        partitioned: Domain that is partitioned, or empty.
     """
 
     names: list[str]
     calls: bool
     storage_down: str = ""
-    cut: str = ""
+    partitioned: str = ""
 
 
-class Watched:
-    """A front's view of domains, and when each was taken for cut off."""
+class MonitorRun:
+    """A front end's domain monitor, and when each domain became unreachable."""
 
-    def __init__(self, weather):
-        self.weather = weather
+    def __init__(self, conditions):
+        self.conditions = conditions
         self.phases = []
-        self.cut_after = {}
+        self.unreachable_after = {}
 
     async def play(self):
-        """Plays all phases."""
+        """Simulates all phases."""
         now = asyncio.get_running_loop().time
-        heard = dict.fromkeys(self.weather.names, now())
+        last_heartbeat_at = dict.fromkeys(self.conditions.names, now())
 
-        async def try_domain(domain):
+        async def probe(domain):
             await asyncio.sleep(0.003)
-            return domain != self.weather.cut
+            return domain != self.conditions.partitioned
 
         domains = DomainMonitor(
             "east",
-            lambda: {name: now() - at for name, at in heard.items()},
-            try_domain,
+            lambda: {
+                name: now() - at for name, at in last_heartbeat_at.items()
+            },
+            probe,
         )
         began = now()
-        domains.on_unreachable = lambda domain: self.cut_after.setdefault(
-            domain, now() - began
+        domains.on_unreachable = lambda domain: (
+            self.unreachable_after.setdefault(domain, now() - began)
         )
         watch = asyncio.create_task(domains.run())
         for change, seconds in [({}, 1.0), *self.phases]:
-            self.weather.storage_down = self.weather.cut = ""
+            self.conditions.storage_down = self.conditions.partitioned = ""
             for field, value in change.items():
-                setattr(self.weather, field, value)
+                setattr(self.conditions, field, value)
             if change:
                 began = now()
-            for _ in range(round(seconds / _STEP_SECONDS)):
-                self._hear(domains, heard, now())
-                await asyncio.sleep(_STEP_SECONDS)
+            for _ in range(round(seconds / _TICK_SECONDS)):
+                self._deliver(domains, last_heartbeat_at, now())
+                await asyncio.sleep(_TICK_SECONDS)
         watch.cancel()
         return domains.unreachable
 
-    def _hear(self, domains, heard, now):
-        for name in self.weather.names:
-            if name == self.weather.cut:
+    def _deliver(self, domains, last_heartbeat_at, now):
+        for name in self.conditions.names:
+            if name == self.conditions.partitioned:
                 continue
-            if name != self.weather.storage_down:
-                heard[name] = now
-            if self.weather.calls:
+            if name != self.conditions.storage_down:
+                last_heartbeat_at[name] = now
+            if self.conditions.calls:
                 domains.record_activity(name)
 
 
 @given('a front end that gets data from domains "{names}" every 50 ms')
-def step_hears(context, names):
-    context.watched = Watched(Weather(names.split(", "), True))
+def step_active(context, names):
+    context.monitor_run = MonitorRun(Conditions(names.split(", "), True))
 
 
 @given('a front end that has no calls in domains "{names}"')
 def step_no_calls(context, names):
-    context.watched = Watched(Weather(names.split(", "), False))
+    context.monitor_run = MonitorRun(Conditions(names.split(", "), False))
 
 
 @when('"{name}" is partitioned for {seconds:d} seconds')
-def step_cut(context, name, seconds):
-    context.watched.phases.append(({"cut": name}, seconds))
-    context.left = run_virtually(context.watched.play())
+def step_partition(context, name, seconds):
+    context.monitor_run.phases.append(({"partitioned": name}, seconds))
+    context.unreachable = run_virtually(context.monitor_run.play())
 
 
 @when('the storage instances of "{name}" are down for {seconds:d} seconds')
 def step_storage(context, name, seconds):
-    context.watched.phases.append(({"storage_down": name}, seconds))
-    context.left = run_virtually(context.watched.play())
+    context.monitor_run.phases.append(({"storage_down": name}, seconds))
+    context.unreachable = run_virtually(context.monitor_run.play())
 
 
 @when("all domains are reachable for 1 second")
-def step_well(context):
-    context.watched.phases.append(({}, 1.0))
-    context.left = run_virtually(context.watched.play())
+def step_reachable(context):
+    context.monitor_run.phases.append(({}, 1.0))
+    context.unreachable = run_virtually(context.monitor_run.play())
 
 
 @then('"{name}" was considered unreachable within {max_ms:d} ms')
-def step_noticed(context, name, max_ms):
-    took = context.watched.cut_after[name]
+def step_detected(context, name, max_ms):
+    took = context.monitor_run.unreachable_after[name]
     assert took * 1000 <= max_ms, took
 
 
 @then('"{name}" was not considered unreachable')
-def step_not_noticed(context, name):
-    assert name not in context.watched.cut_after, context.watched.cut_after
+def step_not_detected(context, name):
+    assert name not in context.monitor_run.unreachable_after, (
+        context.monitor_run.unreachable_after
+    )
 
 
 @then("no domain is considered unreachable")
 def step_none(context):
-    assert not context.left, context.left
+    assert not context.unreachable, context.unreachable
 
 
-def _dialect():
+def _make_codec():
     return HttpCodec(
         decode_call=lambda method, target, headers: "not used",
         endpoint_headers=lambda call, endpoint, left, last, size: [
@@ -141,7 +145,7 @@
 
 
 @given('an endpoint of "{domain}" that accepts requests and does not respond')
-def step_silent(context, domain):
+def step_unresponsive(context, domain):
     context.domain = domain
 
 
@@ -156,7 +160,7 @@
         endpoint = Endpoint(
             "one", "app", context.domain, f"{host}:{port}", 4, False
         )
-        pool = ConnectionPool("127.0.0.1", _dialect(), Metrics())
+        pool = ConnectionPool("127.0.0.1", _make_codec(), Metrics())
         asks = [
             asyncio.create_task(
                 pool.send(
@@ -188,7 +192,7 @@
 
 
 @then("the stream is aborted at once")
-def step_given_up(context):
+def step_aborted(context):
     assert isinstance(context.stream, OutcomeUnknown), context.stream
 
 
@@ -216,24 +220,24 @@
         return asyncio.get_running_loop().time()
 
     context.make = make
-    context.cut = set()
+    context.unreachable_domains = set()
 
 
 @when('"{names}" is marked unreachable')
 @when('"{names}" are marked unreachable')
-def step_taken(context, names):
-    context.cut = set(names.split(", "))
+def step_mark_unreachable(context, names):
+    context.unreachable_domains = set(names.split(", "))
 
 
-def _place(context, count):
+def _place_payments(context, count):
     """Returns where payments are placed, or how they are refused."""
 
     async def place():
         registry, performance = context.make()
         domains = DomainMonitor("east", dict, None)
-        domains.unreachable = context.cut
+        domains.unreachable = context.unreachable_domains
         dispatcher = Dispatcher(
-            registry, performance, None, None, domains, _dialect(), Metrics()
+            registry, performance, None, None, domains, _make_codec(), Metrics()
         )
         route = Route(
             *("pay", "a", "/", RouteKind.NON_IDEMPOTENT, 2.0, 0.5, 1),
@@ -260,11 +264,11 @@
 
 @then('{count:d} payments from "east" are placed in "east" and "north" only')
 def step_placed(context, count):
-    assert set(_place(context, count)) <= {"east", "north"}
+    assert set(_place_payments(context, count)) <= {"east", "north"}
 
 
 @then("a payment is refused at once as not run, with a retry delay")
 def step_refused(context):
-    (refusal,) = _place(context, 1)
+    (refusal,) = _place_payments(context, 1)
     assert isinstance(refusal, Refusal), refusal
     assert refusal.ran is Ran.NO and refusal.retry_after, refusal
--- a/tests/features/steps/site.py
+++ b/tests/features/steps/site.py
@@ -17,8 +17,8 @@
 
 _DOMAINS = ("east", "west", "north")
 # Second byte of the loopback addresses of the first feature's system.
-_FIRST_SITE = 61
-_FORGED = {
+_FIRST_SITE_NUMBER = 61
+_FORGED_HEADERS = {
     "X_Hold": "h1",
     "X_Pin_Ms": "4000",
     "X_Kv_Backup": "10.0.0.1:1",
@@ -26,14 +26,20 @@
     "X_Target_Instance": "llm-9",
     "X_Request_Priority": "0",
 }
-_OURS = ("x-hold", "x-pin-ms", "x-kv-backup", "kv-from", "x-request-priority")
+_SYSTEM_HEADERS = (
+    "x-hold",
+    "x-pin-ms",
+    "x-kv-backup",
+    "kv-from",
+    "x-request-priority",
+)
 
 
 def site(context):
     return context.feature_site
 
 
-def turn(context, domain, text, program, **headers):
+def send_turn(context, domain, text, program, **headers):
     """Sends a turn of at most 40 tokens."""
     fields = {
         "X_Program_Id": program,
@@ -47,7 +53,7 @@
     )
 
 
-def pay(context, domain, size=4):
+def send_payment(context, domain, size=4):
     context.request, context.answer = site(context).ask(
         domain, "POST", "/pay/a", b"x" * size
     )
@@ -55,14 +61,14 @@
 
 
 def site_number(feature):
-    """Returns a number of its own for each feature.
+    """Returns a unique number for each feature.
 
-    Several run at the same time; on the same addresses they would take each
-    other's processes for their own.
+    Several features run at the same time; on the same addresses, each would use
+    the processes of another.
     """
     files = sorted(pathlib.Path("tests/features").glob("site*.feature"))
     names = [path.name for path in files]
-    return _FIRST_SITE + names.index(pathlib.Path(feature).name)
+    return _FIRST_SITE_NUMBER + names.index(pathlib.Path(feature).name)
 
 
 @given("a system on the users' platform")
@@ -74,64 +80,67 @@
 
 
 @given('endpoint "{name}" has the faults {faults}')
-def step_runner(context, name, faults):
-    site(context).runner(name, *(f.strip(' "') for f in faults.split(",")))
+def step_endpoint_faults(context, name, faults):
+    site(context).control_endpoint(
+        name, *(f.strip(' "') for f in faults.split(","))
+    )
 
 
 @given('every desk endpoint has the fault "{fault}"')
-def step_desks(context, fault):
-    _all(context, "desk", fault)
+def step_desk_faults(context, fault):
+    _inject_everywhere(context, "desk", fault)
 
 
 @given('every engine has the fault "{fault}"')
-def step_engines(context, fault):
-    _all(context, "llm", fault)
+def step_engine_faults(context, fault):
+    _inject_everywhere(context, "llm", fault)
 
 
-def _all(context, service, fault):
-    """Sets one fault at each runner and takes what is left away later."""
+def _inject_everywhere(context, service, fault):
+    """Sets one fault at each endpoint and clears those left after the scenario."""
     for index in range(len(_DOMAINS)):
-        site(context).runner(f"{service}-{index}", fault)
-    context.scenario_stack.callback(_drain_faults, site(context), service)
+        site(context).control_endpoint(f"{service}-{index}", fault)
+    context.scenario_stack.callback(_clear_faults, site(context), service)
 
 
-def _drain_faults(system, service):
+def _clear_faults(system, service):
     for index in range(len(_DOMAINS)):
-        client_faults = system.runner(f"{service}-{index}", "clear")
-        assert client_faults is not None
+        requests = system.control_endpoint(f"{service}-{index}", "clear")
+        assert requests is not None
 
 
 @when('a turn "{text}" of program "{program}" is sent to "{domain}"')
 def step_turn(context, text, program, domain):
-    turn(context, domain, text, program)
+    send_turn(context, domain, text, program)
     context.first = (context.request, text, context.answer)
 
 
 @when('the next turn "{text}" of program "{program}" is sent to "{domain}"')
 def step_next_turn(context, text, program, domain):
-    turn(context, domain, text, program, X_Previous_Turn=context.request)
+    send_turn(context, domain, text, program, X_Previous_Turn=context.request)
 
 
 @when(
     'a turn that continues the unknown turn "{previous}" is sent to "{domain}"'
 )
-def step_other_turn(context, previous, domain):
-    turn(context, domain, "two", "unknown", X_Previous_Turn=previous)
+def step_unknown_turn(context, previous, domain):
+    send_turn(context, domain, "two", "unknown", X_Previous_Turn=previous)
 
 
 @when('a turn with forged headers is sent to "{domain}"')
 def step_forged(context, domain):
-    turn(context, domain, "x", "forged", **_FORGED)
+    send_turn(context, domain, "x", "forged", **_FORGED_HEADERS)
 
 
 @when(
     'turns of program "{program}" with a budget of {budget:d} tokens,'
-    " {max_tokens:d} at most each, are sent to all front ends until one is refused"
+    " {max_tokens:d} at most each, are sent to all front ends until one is"
+    " refused"
 )
 def step_budget(context, program, budget, max_tokens):
     context.used = 0
     for number in range(20):
-        turn(
+        send_turn(
             context,
             _DOMAINS[number % 3],
             f"turn {number} ",
@@ -147,33 +156,34 @@
 
 @when('a payment is sent to "{domain}"')
 def step_pay(context, domain):
-    pay(context, domain)
+    send_payment(context, domain)
 
 
 @when('a payment of {size:d} bytes is sent to "{domain}"')
 def step_pay_size(context, size, domain):
-    pay(context, domain, size)
+    send_payment(context, domain, size)
 
 
 @when('{count:d} payments are sent to "{domain}"')
 def step_pay_several(context, count, domain):
-    context.paid = [pay(context, domain) for _ in range(count)]
+    context.paid = [send_payment(context, domain) for _ in range(count)]
 
 
 @when(
-    'look-ups are sent to "{domain}" until a desk endpoint has lost its response'
+    'look-ups are sent to "{domain}" until a desk endpoint has lost its'
+    " response"
 )
 def step_look_up(context, domain):
     for _ in range(50):
         context.request, context.answer = site(context).ask(
             domain, "GET", "/seek/a"
         )
-        ran_on = site(context).seen(context.request)
-        if len(ran_on) > 1:
+        runs = site(context).received_requests(context.request)
+        if len(runs) > 1:
             return
-        site(context).runner(ran_on[0]["runner"], "mute")
-        context.scenario_stack.callback(_drain_faults, site(context), "desk")
-    raise AssertionError("no answer was lost")
+        site(context).control_endpoint(runs[0]["endpoint"], "mute")
+        context.scenario_stack.callback(_clear_faults, site(context), "desk")
+    raise AssertionError("no response was lost")
 
 
 @when('a plan is sent to "{domain}"')
@@ -190,7 +200,7 @@
 
 @then("it is answered with {status:d} within its route's timeout")
 def step_status_in_time(context, status):
-    # The runner would have answered with 200 after twice that time.
+    # The endpoint would have responded with 200 after twice that time.
     assert context.answer.status == status, context.answer
 
 
@@ -206,7 +216,8 @@
 
 
 @then(
-    'the endpoint received the first turn\'s input and events, and then "{text}"'
+    "the endpoint received the first turn's input and events, and then"
+    ' "{text}"'
 )
 def step_chain(context, text):
     _, first_text, first_answer = context.first
@@ -216,14 +227,14 @@
         if line.startswith(b"data: ")
     ]
     expected = b"".join([first_text.encode(), *data, text.encode()])
-    (seen,) = site(context).seen(context.request)
-    assert seen["body"].encode("latin-1") == expected, (seen, expected)
+    (received,) = site(context).received_requests(context.request)
+    assert received["body"].encode("latin-1") == expected, (received, expected)
     assert data, first_answer
 
 
 @then("no endpoint received it")
-def step_unseen(context):
-    assert not site(context).seen(context.request)
+def step_not_received(context):
+    assert not site(context).received_requests(context.request)
 
 
 @then("the earlier turns used at most {tokens:d} tokens")
@@ -233,27 +244,33 @@
 
 @then("the endpoint received none of the forged headers")
 def step_no_forged(context):
-    (seen,) = site(context).seen(context.request)
-    assert not set(_OURS) & set(seen["headers"]), seen
-    assert seen["headers"]["x-target-instance"] == seen["runner"], seen
+    (received,) = site(context).received_requests(context.request)
+    assert not set(_SYSTEM_HEADERS) & set(received["headers"]), received
+    assert received["headers"]["x-target-instance"] == received["endpoint"], (
+        received
+    )
 
 
 @then("each payment ran once")
 def step_each_once(context):
     for request, _ in context.paid:
-        ran = [s for s in site(context).seen(request) if s["fault"] != "shed"]
+        ran = [
+            s
+            for s in site(context).received_requests(request)
+            if s["fault"] != "shed"
+        ]
         assert len(ran) == 1, (request, ran)
 
 
 @then("it ran once")
 def step_ran_once(context):
-    assert len(site(context).seen(context.request)) == 1
+    assert len(site(context).received_requests(context.request)) == 1
 
 
 @then("each response names the endpoint that ran it")
-def step_own_answer(context):
+def step_own_response(context):
     for request, answer in context.paid:
-        ran = [s["runner"] for s in site(context).seen(request)]
+        ran = [s["endpoint"] for s in site(context).received_requests(request)]
         assert answer.body == f"done by {ran[-1]}".encode(), (answer, ran)
 
 
@@ -282,9 +299,11 @@
 
     def only_allowed():
         for domain in _DOMAINS * 2:
-            request, answer = pay(context, domain)
+            request, answer = send_payment(context, domain)
             assert answer.status == 200, answer
-            ran = {s["runner"] for s in site(context).seen(request)}
+            ran = {
+                s["endpoint"] for s in site(context).received_requests(request)
+            }
             if not ran <= allowed:
                 return False
         return True
@@ -332,14 +351,14 @@
 def step_size_everywhere(context, size, status):
     for domain in _DOMAINS:
         wait_until(
-            lambda d=domain: pay(context, d, size)[1].status == status,
-            f"the bound is in force in {domain}",
+            lambda d=domain: send_payment(context, d, size)[1].status == status,
+            f"the limit is in force in {domain}",
             5.0,
         )
 
 
 @given("a configuration that closes connections idle for {milliseconds:d} ms")
-def step_idle_bound(context, milliseconds):
+def step_idle_timeout(context, milliseconds):
     site(context).configure(idle_timeout_ms=milliseconds)
     context.scenario_stack.callback(site(context).configure)
     wait_until(
@@ -356,7 +375,7 @@
 
 @when("a caller sends a payment and keeps its connection open")
 def step_keep_connection(context):
-    host, _, port = site(context).front("east").rpartition(":")
+    host, _, port = site(context).front_address("east").rpartition(":")
     context.connection = http.client.HTTPConnection(host, int(port), timeout=20)
     context.connection.request(
         "POST",
@@ -378,7 +397,8 @@
     " terminated"
 )
 def step_end_front(context, domain):
-    # Its own time-out is far off, so that the front's end alone could cut it.
+    # The route's timeout is far off, so that only the front end's termination
+    # could cut off the payment.
     site(context).configure(pay_timeout_ms=4000)
     context.scenario_stack.callback(site(context).configure)
     front = site(context).processes[f"front-{domain}"]
@@ -389,13 +409,13 @@
         ),
         "the configuration is in force",
     )
-    _all(context, "desk", "slow")
+    _inject_everywhere(context, "desk", "slow")
     context.scenario_stack.callback(site(context).start, "front", domain)
     with concurrent.futures.ThreadPoolExecutor(1) as pool:
-        paying = pool.submit(pay, context, domain)
+        paying = pool.submit(send_payment, context, domain)
         wait_until(
             lambda: any(
-                site(context).seen(line["request"])
+                site(context).received_requests(line["request"])
                 for line in front.events("placed")[-1:]
             ),
             "the payment runs",
@@ -429,18 +449,18 @@
     'the front end of "{domain}" restarts and gets a reload signal before it'
     " has read its settings"
 )
-def step_hang_up_early(context, domain):
+def step_early_reload(context, domain):
     front = site(context).processes[f"front-{domain}"]
     settings = pathlib.Path(front.file)
     text = settings.read_text(encoding="utf-8")
     front.kill()
     settings.unlink()
-    # Whoever opens a pipe waits for the other end to be opened.
+    # Opening a FIFO blocks until the other end is opened.
     os.mkfifo(settings)
     site(context).processes[front.name] = front.__enter__()
-    with settings.open("w", encoding="utf-8") as pipe:
+    with settings.open("w", encoding="utf-8") as fifo:
         os.kill(front.pid, signal.SIGHUP)
-        pipe.write(text)
+        fifo.write(text)
     settings.unlink()
     settings.write_text(text, encoding="utf-8")
 
@@ -492,7 +512,7 @@
     first, second = domains[:2]
 
     def send(number):
-        turn(
+        send_turn(
             context,
             domain,
             f"turn {number} ",
@@ -517,10 +537,10 @@
 
 
 @then("the program has used no more than its budget")
-def step_within(context):
+def step_within_budget(context):
     assert context.used <= 200, context.used
 
 
 @then("a turn is finally answered with 200")
-def step_in_the_end(context):
+def step_finally_answered(context):
     assert context.last_status == 200
--- a/tests/features/steps/site_bodies.py
+++ b/tests/features/steps/site_bodies.py
@@ -1,4 +1,4 @@
-"""Steps of callers that send heads and bodies by hand."""
+"""Steps of callers that write request heads and bodies to a socket."""
 
 import http.client
 import io
@@ -16,14 +16,14 @@
 
 
 def connect(context, domain="east"):
-    host, _, port = site(context).front(domain).rpartition(":")
+    host, _, port = site(context).front_address(domain).rpartition(":")
     context.sock = socket.create_connection((host, int(port)), timeout=10)
     context.scenario_stack.callback(context.sock.close)
     context.request = f"b0d1{next(_IDS):08x}"
     return context.sock
 
 
-def head(context, *lines, path="/pay/long"):
+def request_head(context, *lines, path="/pay/long"):
     return (
         f"POST {path} HTTP/1.1\r\n{_HOST}X-Request-Id: {context.request}\r\n"
         + "".join(f"{line}\r\n" for line in lines)
@@ -31,8 +31,8 @@
     ).encode()
 
 
-def answer(context):
-    """Reads one answer; returns its status."""
+def read_status(context):
+    """Reads one response; returns its status."""
     response = http.client.HTTPResponse(context.sock)
     response.begin()
     response.read()
@@ -69,38 +69,38 @@
 
 @then("the connection is answered with {status:d}")
 def step_answered(context, status):
-    found = answer(context)
+    found = read_status(context)
     assert found == status, found
 
 
 @when("a payment announces {size:d} bytes and sends {sent:d}")
 def step_announces(context, size, sent):
     sock = connect(context)
-    sock.sendall(head(context, f"Content-Length: {size}") + b"x" * sent)
+    sock.sendall(request_head(context, f"Content-Length: {size}") + b"x" * sent)
 
 
 @when('a payment that expects "{what}" is sent to "{domain}"')
 def step_expects(context, what, domain):
     sock = connect(context, domain)
-    sock.sendall(head(context, "Content-Length: 4", f"Expect: {what}"))
+    sock.sendall(request_head(context, "Content-Length: 4", f"Expect: {what}"))
 
 
 @then("the caller is asked to continue, and is then answered with {status:d}")
-def step_told(context, status):
-    told = context.sock.recv(25, socket.MSG_WAITALL)
-    assert told == b"HTTP/1.1 100 Continue\r\n\r\n", told
+def step_asked_to_continue(context, status):
+    interim = context.sock.recv(25, socket.MSG_WAITALL)
+    assert interim == b"HTTP/1.1 100 Continue\r\n\r\n", interim
     context.sock.sendall(b"body")
     step_answered(context, status)
 
 
 @then("the endpoint received its body and no Expect header")
 def step_got_body(context):
-    (seen,) = site(context).seen(context.request)
-    assert seen["body"] == "body", seen
-    assert "expect" not in seen["headers"], seen
+    (received,) = site(context).received_requests(context.request)
+    assert received["body"] == "body", received
+    assert "expect" not in received["headers"], received
 
 
-def hidden():
+def hidden_request():
     return (
         f"POST /pay/hidden HTTP/1.1\r\n{_HOST}{_HIDDEN}"
         "Content-Length: 0\r\n\r\n"
@@ -108,8 +108,8 @@
 
 
 @when("a request framed by {framing} contains another request")
-def step_smuggle(context, framing):
-    inside = hidden()
+def step_smuggled_request(context, framing):
+    inside = hidden_request()
     chunked = "Transfer-Encoding: chunked"
     lines, body = {
         "both": (
@@ -123,13 +123,13 @@
         "a bad chunk": ([chunked], b"0x0\r\n\r\n" + inside),
         "a signed size": (["Content-Length: +0"], inside),
     }[framing]
-    connect(context).sendall(head(context, *lines) + body)
+    connect(context).sendall(request_head(context, *lines) + body)
 
 
 @then("no endpoint received it or the hidden request")
 def step_not_seen(context):
-    assert not site(context).seen(context.request)
-    assert not site(context).seen("hidden01")
+    assert not site(context).received_requests(context.request)
+    assert not site(context).received_requests("hidden01")
 
 
 def send_chunks(sock, data):
@@ -151,23 +151,23 @@
     sock = connect(context, domain)
     sent = io.BytesIO(bytes(i % 251 for i in range(size)))
     context.body = sent.getvalue()
-    sock.sendall(head(context, "Transfer-Encoding: chunked"))
+    sock.sendall(request_head(context, "Transfer-Encoding: chunked"))
     send_chunks(sock, sent.read(80_000))
-    # What is kept at hand could be sent again: the end waits until the front
-    # has begun to pass the body on.
-    wait_until(lambda: is_streamed(context, domain), "the body goes on")
+    # Buffered data could be sent again, so the end of the body waits until the
+    # front end has begun to stream it.
+    wait_until(lambda: is_streamed(context, domain), "the body is streamed")
     send_chunks(sock, sent.read())
     sock.sendall(b"0\r\n\r\n")
 
 
 @then("the endpoint received all {size:d} bytes")
 def step_got_all(context, size):
-    (seen,) = site(context).seen(context.request)
+    (received,) = site(context).received_requests(context.request)
     assert len(context.body) == size
-    assert seen["body"].encode("latin-1") == context.body
+    assert received["body"].encode("latin-1") == context.body
 
 
 @then("it was sent to one endpoint")
-def step_offered_once(context):
-    (seen,) = site(context).seen(context.request)
-    assert seen["fault"] == "shed", seen
+def step_sent_once(context):
+    (received,) = site(context).received_requests(context.request)
+    assert received["fault"] == "shed", received
--- a/tests/features/steps/site_logs.py
+++ b/tests/features/steps/site_logs.py
@@ -1,4 +1,4 @@
-"""Steps about structured log lines and the page that lists them."""
+"""Steps about structured log lines and the page that documents them."""
 
 import ast
 import fcntl
@@ -12,13 +12,21 @@
 
 from rattanmill_core.events import LineWriter, log_event, warn_event
 
-_PAGE = pathlib.Path("docs/LOGS.md")
-_WRITERS = ("log_event", "warn_event", "_line")
-_GENERAL = {"time", "level", "instance", "event", "message", "error", "cause"}
-
-
-def events_of_code():
-    """Returns fields by event, from the calls in the sources."""
+_LOGS_PAGE = pathlib.Path("docs/LOGS.md")
+_LOG_FUNCTIONS = ("log_event", "warn_event", "_line")
+_COMMON_FIELDS = {
+    "time",
+    "level",
+    "instance",
+    "event",
+    "message",
+    "error",
+    "cause",
+}
+
+
+def logged_events():
+    """Returns the fields of each event, from the calls in the sources."""
     found = {}
     paths = [
         *pathlib.Path("libs").glob("*/src/**/*.py"),
@@ -30,7 +38,7 @@
                 continue
             name = getattr(node.func, "id", getattr(node.func, "attr", ""))
             event = node.args[-2] if name == "_line" else node.args[0]
-            if name in _WRITERS and isinstance(event, ast.Constant):
+            if name in _LOG_FUNCTIONS and isinstance(event, ast.Constant):
                 fields = found.setdefault(event.value, set())
                 fields |= {keyword.arg for keyword in node.keywords}
                 if name == "_line":
@@ -40,8 +48,8 @@
 
 @when("docs/LOGS.md is compared with the code")
 def step_compare(context):
-    context.code = events_of_code()
-    context.page = _PAGE.read_text(encoding="utf-8")
+    context.code = logged_events()
+    context.page = _LOGS_PAGE.read_text(encoding="utf-8")
     rows = [
         line.split("|")[1]
         for line in context.page.splitlines()
@@ -68,17 +76,17 @@
 @then("every field of the code is on the page")
 def step_fields(context):
     for event, fields in context.code.items():
-        unknown = fields - context.words - _GENERAL
+        unknown = fields - context.words - _COMMON_FIELDS
         assert not unknown, (event, unknown)
 
 
 @when("5000 decisions, 50 warnings and 50 refusals are logged in one second")
-def step_many(context):
+def step_many_lines(context):
     reader, writer = os.pipe()
-    # Room for all lines: nobody reads before the end.
+    # Makes room for all lines, since nobody reads before the end.
     fcntl.fcntl(writer, fcntl.F_SETPIPE_SZ, 1024 * 1024)
     lines = LineWriter(writer, "test")
-    # One second, however long the loop takes.
+    # Counts all lines in one second, however long the loop takes.
     lines.decisions.second = lines.errors.second = None
     lines.decisions.take = _in_one_second(lines.decisions)
     lines.errors.take = _in_one_second(lines.errors)
@@ -113,13 +121,13 @@
     assert events.count("placed") <= 600, events.count("placed")
     assert events.count("task_failed") == 50
     assert events.count("refused") == 50
-    dropped = [x for x in context.lines if x["event"] == "log_lines_dropped"]
-    left_out = sum(line["count"] for line in dropped)
-    assert left_out + events.count("placed") >= 5000, left_out
+    drop_lines = [x for x in context.lines if x["event"] == "log_lines_dropped"]
+    dropped_count = sum(line["count"] for line in drop_lines)
+    assert dropped_count + events.count("placed") >= 5000, dropped_count
 
 
 @when("lines are logged to a pipe that nobody reads")
-def step_stuck(context):
+def step_unread_pipe(context):
     reader, writer = os.pipe()
     lines = LineWriter(writer, "test")
     number = logger.add(lines, format="{message}", level="INFO")
@@ -127,11 +135,11 @@
         warn_event("task_failed", message="x" * 20_000)
     logger.remove(number)
     reported = b"log_lines_dropped" in lines.buffer
-    context.left_out = lines.errors.dropped or reported
+    context.dropped_count = lines.errors.dropped or reported
     os.close(reader)
     os.close(writer)
 
 
 @then("the process continues and counts the dropped lines")
-def step_goes_on(context):
-    assert context.left_out
+def step_not_blocked(context):
+    assert context.dropped_count
--- a/tests/features/steps/site_lookups.py
+++ b/tests/features/steps/site_lookups.py
@@ -1,11 +1,11 @@
-"""Steps of turns that lie where a front has not looked yet."""
+"""Steps about turns on storage instances that a front end does not know."""
 
 import asyncio
 import itertools
 
 from behave import given, then, when
 from steps.site import site
-from steps.site_store import front, repair
+from steps.site_store import clear_store_faults, front_end
 
 from rattanmill_keeper import codec
 from rattanmill_keeper.members import PREFIX, rank
@@ -14,13 +14,13 @@
 from support import wait_until
 
 _DOMAINS = ("east", "west", "north")
-_ASK_SECONDS = 5.0
-# What callers say in ``X-Deadline-Ms``.
-_PATIENCE_MS = 3000
-_MOST_CONVERSATIONS = 20
+_REPLY_TIMEOUT_SECONDS = 5.0
+# The deadline that callers set in ``X-Deadline-Ms``.
+_DEADLINE_MS = 3000
+_MAX_CONVERSATIONS = 20
 
 
-def numbers(context):
+def storage_numbers(context):
     """Returns the numbers of the storage instances in each domain."""
     return range(1, context.feature.newest + 1)
 
@@ -30,11 +30,15 @@
     return site(context).processes[name]
 
 
-def storages(context):
-    return [storage(context, d, n) for d in _DOMAINS for n in numbers(context)]
+def all_storage(context):
+    return [
+        storage(context, d, n)
+        for d in _DOMAINS
+        for n in storage_numbers(context)
+    ]
 
 
-def new_ones(context):
+def newest_names(context):
     """Returns the names of the storage instances that joined last."""
     newest = context.feature.newest
     return {storage(context, d, newest).name for d in _DOMAINS}
@@ -49,11 +53,11 @@
 def step_all_known(context):
     if not hasattr(context.feature, "newest"):
         context.feature.newest = 1
-    names = {process.name for process in storages(context)}
+    names = {process.name for process in all_storage(context)}
     for domain in _DOMAINS:
         wait_until(
-            lambda d=domain: knows(front(context, d), names),
-            f"the front of {domain} knows all storage instances",
+            lambda d=domain: knows(front_end(context, d), names),
+            f"the front end of {domain} knows all storage instances",
         )
 
 
@@ -61,9 +65,11 @@
     'the watches of the front end of "{domain}" and of all storage instances'
     " are delayed"
 )
-def step_hold_back(context, domain):
-    """Storage instances that have heard would tell the front."""
-    context.scenario_stack.callback(repair, context)
+def step_delay_watches(context, domain):
+    """Delays the storage instances, too, because they would inform the front
+    end.
+    """
+    context.scenario_stack.callback(clear_store_faults, context)
     hosts = [site(context).host("front", domain), *storage_hosts(context)]
     site(context).faults(late_watches=hosts)
 
@@ -72,8 +78,8 @@
     'the store does not respond to the front end of "{domain}" and all'
     " storage instances"
 )
-def step_mute(context, domain):
-    context.scenario_stack.callback(repair, context)
+def step_unresponsive(context, domain):
+    context.scenario_stack.callback(clear_store_faults, context)
     hosts = [site(context).host("front", domain), *storage_hosts(context)]
     site(context).faults(silent_sources=hosts)
 
@@ -82,7 +88,7 @@
     return [
         site(context).host("storage", d, n)
         for d in _DOMAINS
-        for n in numbers(context)
+        for n in storage_numbers(context)
     ]
 
 
@@ -91,12 +97,12 @@
     " whose watches are delayed"
 )
 def step_late_relays(context, domain):
-    context.scenario_stack.callback(repair, context)
-    names = {process.name for process in storages(context)}
+    context.scenario_stack.callback(clear_store_faults, context)
+    names = {process.name for process in all_storage(context)}
 
     def all_list_all():
-        # A first question lets each of them read the list.
-        replies = ask_storages(context, StoreList(PREFIX)).values()
+        # The first request makes each of them read the list.
+        replies = ask_storage_instances(context, StoreList(PREFIX)).values()
         return all(
             isinstance(reply, StoreItems)
             and names == {x.key.removeprefix(PREFIX) for x in reply.items}
@@ -117,53 +123,56 @@
         site(context).start("storage", domain, number=context.feature.newest)
     for domain in _DOMAINS:
         process = storage(context, domain, context.feature.newest)
-        # Before, it can't say for certain that it lacks a turn.
+        # Until then, it can't say for certain that it lacks a turn.
         wait_until(
             lambda p=process: p.events("keeper_whole"),
-            f"{process.name} is whole",
+            f"{process.name} is synchronized",
         )
 
 
 @when('a conversation through "{domain}" is stored only on the new instances')
-def step_converse(context, domain):
+def step_store_conversation(context, domain):
     wait_until(
-        lambda: knows(front(context, domain), new_ones(context)),
-        f"the front of {domain} knows the new ones",
+        lambda: knows(front_end(context, domain), newest_names(context)),
+        f"the front end of {domain} knows the new instances",
     )
-    for program in itertools.islice(programs(context), _MOST_CONVERSATIONS):
+    for program in itertools.islice(
+        programs_on_newest(context), _MAX_CONVERSATIONS
+    ):
         context.conversation = []
         context.request = ""
         context.program = program
         for text in ("one ", "two "):
-            talk(context, domain, text)
+            continue_conversation(context, domain, text)
             assert context.answer.status == 200, context.answer
             context.conversation.append((text, context.answer))
         wait_until(
-            lambda: holders(context, context.request) >= new_ones(context),
-            "the turn is kept in every domain",
+            lambda: holders(context, context.request) >= newest_names(context),
+            "the turn is stored in every domain",
         )
-        if holders(context, context.request) == new_ones(context):
+        if holders(context, context.request) == newest_names(context):
             return
-    raise AssertionError("no conversation lies on the new ones alone")
+    raise AssertionError("no conversation is stored only on the new instances")
 
 
-def programs(context):
-    """Yields programs whose turns belong on the new ones in every domain."""
+def programs_on_newest(context):
+    """Yields programs whose turns are stored on the new ones in every domain."""
     newest = context.feature.newest
     for number in itertools.count():
         program = f"p{newest}-{number}"
         firsts = {
             rank(
-                program, [storage(context, d, n).name for n in numbers(context)]
+                program,
+                [storage(context, d, n).name for n in storage_numbers(context)],
             )[0]
             for d in _DOMAINS
         }
-        if firsts == new_ones(context):
+        if firsts == newest_names(context):
             yield program
 
 
-def talk(context, domain, text):
-    """Sends the conversation's next turn; with no budget to agree on."""
+def continue_conversation(context, domain, text):
+    """Sends the conversation's next turn, without a budget to reserve."""
     fields = {
         "X_Program_Id": context.program,
         "X_Session_Id": context.program,
@@ -178,23 +187,23 @@
 
 def holders(context, turn):
     """Returns the names of the storage instances that hold a turn."""
-    replies = ask_storages(context, Fetch(turn))
+    replies = ask_storage_instances(context, Fetch(turn))
     assert all(isinstance(r, Chain) for r in replies.values()), replies
     return {name for name, reply in replies.items() if reply.turns}
 
 
-def ask_storages(context, message):
+def ask_storage_instances(context, message):
     """Returns the replies of all storage instances, by name."""
     addresses = {
-        storage(context, d, n).name: site(context).keeper_address(d, n)
+        storage(context, d, n).name: site(context).storage_address(d, n)
         for d in _DOMAINS
-        for n in numbers(context)
+        for n in storage_numbers(context)
     }
 
     async def ask(address):
         link = RequestLink(address, codec())
         try:
-            return await link.ask(message, _ASK_SECONDS)
+            return await link.ask(message, _REPLY_TIMEOUT_SECONDS)
         finally:
             link.close()
 
@@ -207,39 +216,39 @@
 @when('the front end of "{domain}" considers its list current')
 def step_current(context, domain):
     def is_current():
-        lines = front(context, domain).lines()
+        lines = front_end(context, domain).lines()
         about = [line for line in lines if line.get("prefix") == PREFIX]
         return not about or about[-1]["event"] != "watch_lost"
 
-    wait_until(is_current, "the front hears of storage instances")
+    wait_until(is_current, "the front end watches the storage instances")
 
 
 @when('its next turn is sent to "{domain}"')
-def step_go_on(context, domain):
+def step_continue(context, domain):
     context.last = context.request
-    talk(context, domain, "three")
+    continue_conversation(context, domain, "three")
 
 
 @then(
     'the front end of "{domain}" did not know the new instances when it got the'
     " request"
 )
-def step_unheard(context, domain):
+def step_unknown(context, domain):
     def lines_before():
-        lines = front(context, domain).lines()
+        lines = front_end(context, domain).lines()
         for number, line in enumerate(lines):
             is_admitted = line["event"] == "admitted"
             if is_admitted and line["request"] == context.request:
                 return lines[:number]
         return None
 
-    lines = wait_until(lines_before, "the front has logged the request")
+    lines = wait_until(lines_before, "the front end has logged the request")
     heard = {x["keeper"] for x in lines if x["event"] == "keeper_seen"}
-    assert not heard & new_ones(context), heard
+    assert not heard & newest_names(context), heard
 
 
 @then("the endpoint received the whole conversation")
-def step_whole(context):
+def step_whole_conversation(context):
     expected = b""
     for text, answer in context.conversation:
         data = [
@@ -249,8 +258,8 @@
         ]
         assert data, answer
         expected += b"".join([text.encode(), *data])
-    (seen,) = site(context).seen(context.request)
-    body = seen["body"].encode("latin-1")
+    (received,) = site(context).received_requests(context.request)
+    body = received["body"].encode("latin-1")
     assert body == expected + b"three", (body, expected)
 
 
@@ -262,29 +271,29 @@
         return [
             line
             for domain in _DOMAINS
-            for line in front(context, domain).events("refused")
+            for line in front_end(context, domain).events("refused")
             if line["request"] == context.request
         ]
 
     assert context.answer.status == status, context.answer
-    (refusal,) = wait_until(refusals, "the front has logged the refusal")
+    (refusal,) = wait_until(refusals, "the front end has logged the refusal")
     assert refusal["reason"] == reason, refusal
-    assert refusal["after_ms"] < _PATIENCE_MS, refusal
+    assert refusal["after_ms"] < _DEADLINE_MS, refusal
 
 
 @when("the store responds to all again")
 def step_answers_again(context):
-    repair(context)
+    clear_store_faults(context)
 
 
 @then(
     'its next turn is answered with {status:d} by "{domain}", and with'
     " {before:d} until then"
 )
-def step_in_the_end(context, status, domain, before):
+def step_finally_answered(context, status, domain, before):
     def is_answered():
         context.request = context.last
-        talk(context, domain, "three")
+        continue_conversation(context, domain, "three")
         assert context.answer.status in (status, before), context.answer
         return context.answer.status == status
 
@@ -295,9 +304,9 @@
     'a turn that continues the unknown turn "{turn}" is answered with'
     " {status:d} at every front end"
 )
-def step_never_was(context, turn, status):
+def step_unknown_turn(context, turn, status):
     context.program = "never"
     for domain in _DOMAINS:
         context.request = turn
-        talk(context, domain, "two")
+        continue_conversation(context, domain, "two")
         assert context.answer.status == status, (domain, context.answer)
--- a/tests/features/steps/site_placing.py
+++ b/tests/features/steps/site_placing.py
@@ -16,7 +16,7 @@
 from support.virtual import run_virtually
 
 _SLOTS = 24
-# What engines of the usual speed take to read a token.
+# Time in which engines of average speed read a token.
 _PREFILL_TOKEN_SECONDS = 16e-6
 _PARTS = (PromptPart("shared", 1000), PromptPart("own", 4000))
 _ROUTE = Route(
@@ -26,11 +26,11 @@
 )
 
 
-class Front:
-    """A front's decisions about engines of set speeds."""
+class FrontEnd:
+    """A front end's placement decisions about engines of given speeds."""
 
-    def __init__(self, paces):
-        self.paces = paces
+    def __init__(self, ratios):
+        self.ratios = ratios
         self.registry = EndpointRegistry()
         self.performance = PerformanceModel("east")
         domains = DomainMonitor("east", dict, None)
@@ -45,12 +45,12 @@
         )
         self.engines = {}
         now = asyncio.get_running_loop().time()
-        for name, pace in paces.items():
+        for name, ratio in ratios.items():
             engine = Endpoint(name, "llm", "east", f"{name}:1", _SLOTS, False)
             self.engines[name] = engine
             self.registry.update(engine)
             stats = self.performance.stats_of(engine)
-            stats.duration_ratio, stats.measured_at = pace, now
+            stats.duration_ratio, stats.measured_at = ratio, now
         for _ in range(50):
             self.performance.average_for("read/event/llm", 0).add(
                 _PREFILL_TOKEN_SECONDS
@@ -69,7 +69,7 @@
         return Job(call, _ROUTE, Service("llm"), b"", deadline)
 
     def place(self, job):
-        """Places a turn; it stays there."""
+        """Places a turn, which stays in flight."""
         pick = self.dispatcher.pick(job)
         stats = self.performance.stats_of(pick.endpoint)
         InFlightCall(
@@ -83,15 +83,17 @@
     " average time"
 )
 def step_engines(context, names, one, two, three):
-    context.paces = dict(zip(names.split(", "), (one, two, three), strict=True))
+    context.ratios = dict(
+        zip(names.split(", "), (one, two, three), strict=True)
+    )
     context.prepare = []
 
 
 @given('{count:d} streams run at "{name}"')
 def step_run(context, count, name):
-    def run(front):
+    def run(front_end):
         load = Load(count, 0, _SLOTS)
-        front.performance.record_response(front.engines[name], load)
+        front_end.performance.record_response(front_end.engines[name], load)
 
     context.prepare.append(run)
 
@@ -99,8 +101,8 @@
 @given('the conversation is cached at "{name}"')
 def step_cached(context, name):
     context.prepare.append(
-        lambda front: front.performance.stats_of(
-            front.engines[name]
+        lambda front_end: front_end.performance.stats_of(
+            front_end.engines[name]
         ).record_prompt(_PARTS)
     )
 
@@ -108,17 +110,19 @@
 @when("{count:d} turns with 5000 prompt tokens are sent at once")
 def step_send(context, count):
     async def send():
-        front = Front(context.paces)
+        front_end = FrontEnd(context.ratios)
         for prepare in context.prepare:
-            prepare(front)
-        return [front.place(front.job(number)) for number in range(count)]
+            prepare(front_end)
+        return [
+            front_end.place(front_end.job(number)) for number in range(count)
+        ]
 
     context.placed = collections.Counter(run_virtually(send()))
 
 
 @then("each engine gets at least {minimum:d} and at most {maximum:d} of them")
 def step_spread(context, minimum, maximum):
-    for name in context.paces:
+    for name in context.ratios:
         assert minimum <= context.placed[name] <= maximum, context.placed
 
 
@@ -128,7 +132,7 @@
 )
 def step_read(context):
     read = {
-        name: count * 5000 * _PREFILL_TOKEN_SECONDS * context.paces[name]
+        name: count * 5000 * _PREFILL_TOKEN_SECONDS * context.ratios[name]
         for name, count in context.placed.items()
     }
     alone = sum(context.placed.values()) * 5000 * _PREFILL_TOKEN_SECONDS
@@ -146,19 +150,21 @@
 )
 def step_burst(context, count, seconds, name):
     async def stream():
-        front = Front(context.paces)
-        front.dispatcher.guard = _Guard()
-        job = front.job(1)
-        running = RunningCall(front.engines[name], None, 0.0)
-        front.dispatcher.record_event(job, running)
+        front_end = FrontEnd(context.ratios)
+        front_end.dispatcher.guard = _Guard()
+        job = front_end.job(1)
+        running = RunningCall(front_end.engines[name], None, 0.0)
+        front_end.dispatcher.record_event(job, running)
         await asyncio.sleep(seconds)
         for _ in range(count - 1):
-            front.dispatcher.record_event(job, running)
-        front.dispatcher.record_completion(job, running)
+            front_end.dispatcher.record_event(job, running)
+        front_end.dispatcher.record_completion(job, running)
         now = asyncio.get_running_loop().time()
         return {
-            each: front.performance.stats_of(engine).duration_ratio_at(now)
-            for each, engine in front.engines.items()
+            engine_name: front_end.performance.stats_of(
+                engine
+            ).duration_ratio_at(now)
+            for engine_name, engine in front_end.engines.items()
         }
 
     context.learned = run_virtually(stream())
@@ -166,7 +172,7 @@
 
 class _Guard:
     def clear(self, fingerprint):
-        """Takes the end of a run."""
+        """Records the end of a call."""
 
 
 @then('"{name}" is not estimated as faster than "{other}"')
--- a/tests/features/steps/site_store.py
+++ b/tests/features/steps/site_store.py
@@ -1,7 +1,7 @@
-"""Steps of a platform's store that misbehaves."""
+"""Steps about faults of the platform's store."""
 
 from behave import then, when
-from steps.site import pay, site
+from steps.site import send_payment, site
 
 from support import wait_until
 
@@ -9,7 +9,7 @@
 _DESKS = ("desk-0", "desk-1", "desk-2")
 
 
-def front(context, domain):
+def front_end(context, domain):
     return site(context).processes[f"front-{domain}"]
 
 
@@ -17,29 +17,29 @@
     return site(context).processes[f"storage-{domain}"]
 
 
-def repair(context):
+def clear_store_faults(context):
     site(context).faults(
         refuse_sources=[], silent_sources=[], late_watches=[], down=False
     )
 
 
 @when("all open watches stop delivering")
-def step_silent(context):
+def step_stop_watches(context):
     status = site(context).store.request("POST", "/silence", {}).status
     assert status == 200, status
 
 
 @when("bodies are limited to {size:d} bytes")
-def step_bound(context, size):
+def step_limit(context, size):
     site(context).configure(max_body_bytes=size)
     context.scenario_stack.callback(site(context).configure)
 
 
 @when('the store rejects the front end of "{domain}"')
-def step_refuse(context, domain):
-    host, _, _ = site(context).front(domain).rpartition(":")
+def step_reject(context, domain):
+    host, _, _ = site(context).front_address(domain).rpartition(":")
     site(context).faults(refuse_sources=[host])
-    context.scenario_stack.callback(repair, context)
+    context.scenario_stack.callback(clear_store_faults, context)
 
 
 @when("all storage instances are killed")
@@ -55,10 +55,10 @@
 
 
 @when('the store does not respond to the storage instance of "{domain}"')
-def step_mute(context, domain):
-    host, _, _ = site(context).front(domain).rpartition(".")
+def step_unresponsive(context, domain):
+    host, _, _ = site(context).front_address(domain).rpartition(".")
     site(context).faults(silent_sources=[f"{host}.2"])
-    context.scenario_stack.callback(repair, context)
+    context.scenario_stack.callback(clear_store_faults, context)
     context.lost = len(storage(context, domain).events("watch_lost"))
 
 
@@ -70,30 +70,32 @@
 
 @then('the front end of "{domain}" read the store through a storage instance')
 def step_relayed(context, domain):
-    assert front(context, domain).events("store_relayed")
+    assert front_end(context, domain).events("store_relayed")
 
 
 @then('the front end of "{domain}" reads the store directly')
 def step_direct(context, domain):
     wait_until(
-        lambda: front(context, domain).events("store_direct"),
+        lambda: front_end(context, domain).events("store_direct"),
         "the store is read directly",
     )
 
 
 @when("the store is unreachable and the entries of the desk endpoints expire")
-def step_lapse(context):
+def step_expire(context):
     context.scenario_stack.callback(register, context, _DESKS)
-    context.scenario_stack.callback(repair, context)
-    lost = {d: len(front(context, d).events("watch_lost")) for d in _DOMAINS}
+    context.scenario_stack.callback(clear_store_faults, context)
+    lost = {
+        d: len(front_end(context, d).events("watch_lost")) for d in _DOMAINS
+    }
     site(context).faults(down=True)
     for domain in _DOMAINS:
-        # Runners, configuration and storage instances.
+        # The watches of endpoints, configuration and storage instances.
         wait_until(
             lambda d=domain: (
-                len(front(context, d).events("watch_lost")) >= lost[d] + 2
+                len(front_end(context, d).events("watch_lost")) >= lost[d] + 2
             ),
-            "the front has noticed",
+            "the front end has lost its watches",
         )
     for name in _DESKS:
         site(context).remove(f"servers/{name}")
@@ -108,29 +110,31 @@
 @then("payments at every front end are answered with {status:d}")
 def step_pay_everywhere(context, status):
     for domain in _DOMAINS * 3:
-        _, answer = pay(context, domain)
+        _, answer = send_payment(context, domain)
         assert answer.status == status, answer
 
 
 @when('the store and the entries of "{names}" are back')
 def step_back(context, names):
-    back = {d: len(front(context, d).events("watch_back")) for d in _DOMAINS}
-    repair(context)
+    back = {
+        d: len(front_end(context, d).events("watch_back")) for d in _DOMAINS
+    }
+    clear_store_faults(context)
     for domain in _DOMAINS:
         wait_until(
             lambda d=domain: (
-                len(front(context, d).events("watch_back")) >= back[d] + 2
+                len(front_end(context, d).events("watch_back")) >= back[d] + 2
             ),
-            "the front follows the store again",
+            "the front end watches the store again",
         )
     register(context, names.split(", "))
 
 
 @then('no front end has removed "{names}"')
-def step_not_gone(context, names):
+def step_not_removed(context, names):
     for domain in _DOMAINS:
         gone = {
             line["endpoint"]
-            for line in front(context, domain).events("endpoint_gone")
+            for line in front_end(context, domain).events("endpoint_gone")
         }
         assert not gone & set(names.split(", ")), (domain, gone)
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -50,7 +50,7 @@
         self.misses[place] = 0 if is_ready else self.misses[place] + 1
 
     def _address(self, place: tuple[str, str, int]) -> str:
-        return self.system.front(*place[1:])
+        return self.system.front_address(*place[1:])
 
 
 class Callers:
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -156,14 +156,16 @@
                 self.system.remove(f"servers/{name}")
                 await asyncio.sleep(fault.seconds)
                 await asyncio.to_thread(
-                    self.system.start_runner, service, int(index)
+                    self.system.start_endpoint, service, int(index)
                 )
 
     async def runner_fault(self, fault: Fault) -> None:
         """Lets a runner break off, reject or garble its next request."""
         with self._holding(fault.target) as names:
             for name in names:
-                await asyncio.to_thread(self.system.runner, name, fault.other)
+                await asyncio.to_thread(
+                    self.system.control_endpoint, name, fault.other
+                )
 
     async def configure(self, fault: Fault) -> None:
         """Writes the next configuration."""
--- a/tests/soak/system.py
+++ b/tests/soak/system.py
@@ -31,7 +31,7 @@
         self.expected: set[str] = set()
         self.links: dict[str, list[LinkFault]] = {d: [] for d in DOMAINS}
 
-    def _start_ways(self) -> None:
+    def _start_network(self) -> None:
         for domain in DOMAINS:
             self._start_links(domain)
         self.faults(views={self._source(d): self._view(d) for d in DOMAINS})
@@ -70,7 +70,7 @@
         """Returns the data folder of a storage instance."""
         return pathlib.Path(self.folder.name, "data", name)
 
-    def store_seen_from(self, domain: str) -> str:
+    def store_address_for(self, domain: str) -> str:
         """Returns the store's address behind a domain's link."""
         return self._seen(domain, self.store_address)
 
@@ -100,7 +100,7 @@
             self._links(domain).faults(links=[])
         self.faults(down=False, silent=False, lose_answers=0)
         for name in self.runner_names():
-            self.runner(name, "clear")
+            self.control_endpoint(name, "clear")
 
     def runner_names(self) -> list[str]:
         """Returns the names of all runners."""
@@ -108,12 +108,12 @@
 
     def requests_of(self, name: str) -> list[dict]:
         """Returns what a runner has seen, over its restarts."""
-        file = pathlib.Path(self.runner_file(name))
+        file = pathlib.Path(self.endpoint_log_file(name))
         if not file.exists():
             return []
         return [json.loads(line) for line in file.read_text().splitlines()]
 
-    def runner_file(self, name: str) -> str:
+    def endpoint_log_file(self, name: str) -> str:
         """Returns the file of what a runner has seen."""
         return f"{self.folder.name}/{name}.requests"
 
@@ -172,6 +172,6 @@
         index = DOMAINS.index(domain)
         numbers = range(1, self.scale.keepers + 1)
         return [
-            *(self.keeper_address(domain, number) for number in numbers),
-            *(self.runner_address(s, index) for s in ("llm", "desk")),
+            *(self.storage_address(domain, number) for number in numbers),
+            *(self.endpoint_address(s, index) for s in ("llm", "desk")),
         ]
--- a/tests/support/calls.py
+++ b/tests/support/calls.py
@@ -1,4 +1,4 @@
-"""Calls as a front decodes them, with as little as a decision needs."""
+"""Calls with only the fields that a placement decision needs."""
 
 from typing import Any
 
@@ -6,7 +6,7 @@
 
 
 def make_call(number: int, **fields: Any) -> Call:
-    """Returns a call; ``fields`` say what matters about it."""
+    """Returns a call with the given ``fields``."""
     return Call(
         request_id=str(number),
         method="POST",
--- a/tests/support/site.py
+++ b/tests/support/site.py
@@ -1,4 +1,4 @@
-"""A system on the users' platform: real processes against its stand-ins."""
+"""A system on the users' platform: real processes with stand-ins around them."""
 
 import http.client
 import json
@@ -14,7 +14,9 @@
 from support.process import Process
 from support.waiting import wait_until
 
-_MAIN = pathlib.Path(__file__).resolve().parents[2] / "platform" / "main.py"
+_MAIN_SCRIPT = (
+    pathlib.Path(__file__).resolve().parents[2] / "platform" / "main.py"
+)
 DOMAINS = ("east", "west", "north")
 PORT = 18300
 HOST = "tents.example"
@@ -30,7 +32,7 @@
 
     def __init__(self, name: str, role: str, file: str, folder: str) -> None:
         super().__init__(name, [], folder)
-        self.arguments = [sys.executable, str(_MAIN), role]
+        self.arguments = [sys.executable, str(_MAIN_SCRIPT), role]
         self.file = file
 
     def __enter__(self) -> Self:
@@ -55,10 +57,10 @@
 
 
 class Site:
-    """Store, runners, three storage and three front processes.
+    """A store, endpoints, three storage instances and three front ends.
 
     Args:
-        number: Tells the addresses of several apart: 127.NUMBER.*.*.
+        number: Number of the system; its addresses are 127.NUMBER.*.*.
     """
 
     def __init__(self, number: int) -> None:
@@ -67,13 +69,14 @@
         self.store_address = f"127.{number}.0.1:{PORT}"
         self.processes: dict[str, Process] = {}
         self.version = 0
-        self.asked = 0
+        self.request_count = 0
 
     def __enter__(self) -> Self:
         try:
             self._start_all()
         except BaseException:
-            # What is left running holds the addresses of the next one.
+            # Processes left running would occupy the addresses of the next
+            # system.
             self.__exit__()
             raise
         return self
@@ -87,19 +90,22 @@
             )
         )
         wait_until(self._store_answers, "the store answers")
-        self._start_ways()
+        self._start_network()
         for index, _ in enumerate(DOMAINS):
-            self.start_runner("llm", index)
-            self.start_runner("desk", index)
+            self.start_endpoint("llm", index)
+            self.start_endpoint("desk", index)
         self.configure()
         for role, domain, number in self.places():
             self.start(role, domain, first=True, number=number)
         for domain in DOMAINS:
             wait_until(lambda d=domain: self.is_ready(d), f"{domain} is ready")
-        wait_until(self._all_follow, "the storage instances know each other")
+        wait_until(
+            self._all_synchronized,
+            "the storage instances replicate from each other",
+        )
 
-    def _start_ways(self) -> None:
-        """Starts what lies between the processes; nothing does here."""
+    def _start_network(self) -> None:
+        """Starts what connects the processes; here, they connect directly."""
 
     def places(self) -> list[tuple[str, str, int]]:
         """Returns role, failure domain and number of each process."""
@@ -113,13 +119,13 @@
     def start(
         self, role: str, domain: str, first: bool = False, number: int = 1
     ) -> None:
-        """Starts, or starts again, a process of a role in a domain.
+        """Starts or restarts a process of a role in a domain.
 
         Args:
             role: Its role.
             domain: Its failure domain.
             first: Whether the whole system starts for the first time.
-            number: Tells several of a role and domain apart.
+            number: Number of the process among those of its role and domain.
         """
         host = self.host(role, domain, number)
         name = process_name(role, domain, number)
@@ -132,7 +138,7 @@
             "port_range": f"{PORT + 5},{PORT + 9}",
             "listen_addrs.front": f"{host}:{PORT}",
             "listen_addrs.ready": f"{host}:{PORT + 1}",
-            "platform.address": self.store_seen_from(domain),
+            "platform.address": self.store_address_for(domain),
             "bootstrap": "true" if first else "false",
             "fault_tolerance.machines": "1",
             "bounds.grace_s": "8",
@@ -149,40 +155,44 @@
             last = 1 if number == 1 else 100 + number
         return f"127.{self.number}.{index}.{last}"
 
-    def store_seen_from(self, domain: str) -> str:
+    def store_address_for(self, domain: str) -> str:
         """Returns the store's address for the processes of a domain."""
         return self.store_address
 
-    def keeper_address(self, domain: str, number: int = 1) -> str:
+    def storage_address(self, domain: str, number: int = 1) -> str:
         """Returns a storage instance's address for other instances."""
         return f"{self.host('storage', domain, number)}:{PORT + 5}"
 
-    def start_runner(self, service: str, index: int) -> None:
-        """Starts a runner and registers it."""
+    def start_endpoint(self, service: str, index: int) -> None:
+        """Starts an endpoint and registers it."""
         name = f"{service}-{index}"
-        address = self.runner_address(service, index)
-        file = self.runner_file(name)
-        runner = Process(
+        address = self.endpoint_address(service, index)
+        file = self.endpoint_log_file(name)
+        endpoint = Process(
             name, ["standins.siterunner", address, name, file], self.folder.name
         )
-        runner.address = address
-        self._start(runner)
-        wait_until(lambda: self._accepts(address), f"{name} listens")
+        endpoint.address = address
+        self._start(endpoint)
+        wait_until(
+            lambda: self._accepts(address), f"{name} accepts connections"
+        )
         self.register(name, service, index)
 
-    def runner_address(self, service: str, index: int) -> str:
-        """Returns the address of the runner of a service in a domain."""
+    def endpoint_address(self, service: str, index: int) -> str:
+        """Returns the address of the endpoint of a service in a domain."""
         last = 30 + (service == "desk")
         return f"127.{self.number}.{index + 1}.{last}:{PORT}"
 
-    def runner_file(self, name: str) -> str:
-        """Returns the file of what a runner has seen; empty: none is kept."""
+    def endpoint_log_file(self, name: str) -> str:
+        """Returns the file for an endpoint's received requests, or empty for
+        none.
+        """
         return ""
 
     def register(
         self, name: str, service: str, index: int, **changes: Any
     ) -> None:
-        """Writes a runner's entry, as it does itself."""
+        """Writes an endpoint's entry, as the endpoint does itself."""
         entry = {
             "service": service,
             "address": self.processes[name].address,
@@ -241,12 +251,12 @@
         self.put("op/config", json.dumps(config).encode())
 
     def put(self, key: str, value: bytes) -> None:
-        """Writes a key of the store past all conditions."""
+        """Writes a key of the store without preconditions."""
         path = f"/put?key={urllib.parse.quote(key, safe='')}"
         assert self.store.request("PUT", path, value).status == 200
 
     def remove(self, key: str) -> None:
-        """Removes a key of the store past all conditions."""
+        """Removes a key of the store without preconditions."""
         path = f"/put?key={urllib.parse.quote(key, safe='')}"
         assert self.store.request("DELETE", path).status == 200
 
@@ -259,20 +269,20 @@
         """Sets faults of the store."""
         self.store.request("POST", "/faults", faults)
 
-    def runner(self, name: str, *faults: str) -> list[dict[str, Any]]:
-        """Adds faults to a runner and returns the requests it has seen."""
+    def control_endpoint(self, name: str, *faults: str) -> list[dict[str, Any]]:
+        """Adds faults to an endpoint and returns the requests it has received."""
         body = json.dumps({"faults": faults}).encode()
         client = Client(self.processes[name].address)
         return client.request("POST", "/control", body).json
 
-    def seen(self, request: str) -> list[dict[str, Any]]:
-        """Returns what all runners have seen of a request, with their name."""
+    def received_requests(self, request_id: str) -> list[dict[str, Any]]:
+        """Returns where a request was received, with the name of each endpoint."""
         return [
-            {**seen, "runner": name}
+            {**received, "endpoint": name}
             for name in self.processes
             if name.startswith(("llm-", "desk-"))
-            for seen in self.runner(name)
-            if seen["headers"].get("x-request-id") == request
+            for received in self.control_endpoint(name)
+            if received["headers"].get("x-request-id") == request_id
         ]
 
     def ask(
@@ -283,44 +293,44 @@
         body: bytes = b"",
         **headers: str,
     ) -> tuple[str, Answer]:
-        """Sends a request; returns its id and the answer (0: none)."""
-        self.asked += 1
-        request = f"{self.number:04x}{self.asked:012x}"
+        """Sends a request; returns its id and the response (status 0 if none)."""
+        self.request_count += 1
+        request_id = f"{self.number:04x}{self.request_count:012x}"
         fields = {
             "Host": HOST,
-            "X-Request-Id": request,
+            "X-Request-Id": request_id,
             "X-Deadline-Ms": "3000",
             **{name.replace("_", "-"): text for name, text in headers.items()},
         }
-        host, _, port = self.front(domain).rpartition(":")
+        host, _, port = self.front_address(domain).rpartition(":")
         connection = http.client.HTTPConnection(host, int(port), timeout=20)
         try:
             connection.request(method, path, body or None, fields)
             response = connection.getresponse()
             read = response.read()
-            found = {k.lower(): v for k, v in response.getheaders()}
-            return request, Answer(response.status, found, read)
+            headers = {k.lower(): v for k, v in response.getheaders()}
+            return request_id, Answer(response.status, headers, read)
         except (OSError, http.client.HTTPException):
-            return request, Answer(0, {}, b"")
+            return request_id, Answer(0, {}, b"")
         finally:
             connection.close()
 
-    def front(self, domain: str, number: int = 1) -> str:
-        """Returns a front's address for callers."""
+    def front_address(self, domain: str, number: int = 1) -> str:
+        """Returns a front end's address for callers."""
         return f"{self.host('front', domain, number)}:{PORT}"
 
     def ready_address(self, domain: str, number: int = 1) -> str:
-        """Returns the address at which a front says whether it is ready."""
+        """Returns the address of a front end's readiness probe."""
         return f"{self.host('front', domain, number)}:{PORT + 1}"
 
     def is_ready(self, domain: str) -> bool:
-        """Whether a front says that it is ready."""
+        """Whether a front end reports that it is ready."""
         front = self.processes[f"front-{domain}"]
         assert front.alive, front.tail()
         client = Client(self.ready_address(domain))
         return client.request("GET", "/v1/readiness").status == 200
 
-    def _all_follow(self) -> bool:
+    def _all_synchronized(self) -> bool:
         return all(
             len(self.processes[f"storage-{d}"].events("following_level")) >= 2
             for d in DOMAINS
