--- a/tests/features/steps/site.py
+++ b/tests/features/steps/site.py
@@ -97,7 +97,7 @@
 
 
 def _inject_everywhere(context, service, fault):
-    """Sets one fault at each endpoint and clears those left after the scenario."""
+    """Sets a fault at each endpoint, cleared at the end of the scenario."""
     for index in range(len(_DOMAINS)):
         site(context).control_endpoint(f"{service}-{index}", fault)
     context.scenario_stack.callback(_clear_faults, site(context), service)
--- a/tests/features/steps/site_lookups.py
+++ b/tests/features/steps/site_lookups.py
@@ -66,9 +66,7 @@
     " are delayed"
 )
 def step_delay_watches(context, domain):
-    """Delays the storage instances, too, because they would inform the front
-    end.
-    """
+    """Delays storage instances, too: they would inform the front end."""
     context.scenario_stack.callback(clear_store_faults, context)
     hosts = [site(context).host("front", domain), *storage_hosts(context)]
     site(context).faults(late_watches=hosts)
@@ -156,7 +154,7 @@
 
 
 def programs_on_newest(context):
-    """Yields programs whose turns are stored on the new ones in every domain."""
+    """Yields programs whose turns belong on the new ones in every domain."""
     newest = context.feature.newest
     for number in itertools.count():
         program = f"p{newest}-{number}"
--- a/tests/support/site.py
+++ b/tests/support/site.py
@@ -1,4 +1,4 @@
-"""A system on the users' platform: real processes with stand-ins around them."""
+"""A system of real processes on stand-ins of the users' platform."""
 
 import http.client
 import json
@@ -184,9 +184,7 @@
         return f"127.{self.number}.{index + 1}.{last}:{PORT}"
 
     def endpoint_log_file(self, name: str) -> str:
-        """Returns the file for an endpoint's received requests, or empty for
-        none.
-        """
+        """Returns the file of an endpoint's requests, or empty for none."""
         return ""
 
     def register(
@@ -270,13 +268,13 @@
         self.store.request("POST", "/faults", faults)
 
     def control_endpoint(self, name: str, *faults: str) -> list[dict[str, Any]]:
-        """Adds faults to an endpoint and returns the requests it has received."""
+        """Adds faults to an endpoint and returns its received requests."""
         body = json.dumps({"faults": faults}).encode()
         client = Client(self.processes[name].address)
         return client.request("POST", "/control", body).json
 
     def received_requests(self, request_id: str) -> list[dict[str, Any]]:
-        """Returns where a request was received, with the name of each endpoint."""
+        """Returns a request as received, with the name of each endpoint."""
         return [
             {**received, "endpoint": name}
             for name in self.processes
@@ -293,7 +291,7 @@
         body: bytes = b"",
         **headers: str,
     ) -> tuple[str, Answer]:
-        """Sends a request; returns its id and the response (status 0 if none)."""
+        """Sends a request; returns its id and the response (0: none)."""
         self.request_count += 1
         request_id = f"{self.number:04x}{self.request_count:012x}"
         fields = {
