--- a/tests/features/steps/site_lookups.py
+++ b/tests/features/steps/site_lookups.py
@@ -241,8 +241,8 @@
         return None
 
     lines = wait_until(lines_before, "the front end has logged the request")
-    heard = {x["keeper"] for x in lines if x["event"] == "keeper_seen"}
-    assert not heard & newest_names(context), heard
+    known = {x["keeper"] for x in lines if x["event"] == "keeper_seen"}
+    assert not known & newest_names(context), known
 
 
 @then("the endpoint received the whole conversation")
--- a/tests/features/steps/site_quarantine.py
+++ b/tests/features/steps/site_quarantine.py
@@ -32,9 +32,9 @@
 
 def seen_crashes(context, domain):
     """Returns how many crashes a front end has detected or been notified of."""
-    heard = front_end(context, domain).events("crashes_heard")
+    notified = front_end(context, domain).events("crashes_heard")
     return len(front_end(context, domain).events("crash_suspected")) + sum(
-        line["count"] for line in heard
+        line["count"] for line in notified
     )
 
 
--- a/tests/features/steps/site_store.py
+++ b/tests/features/steps/site_store.py
@@ -133,8 +133,8 @@
 @then('no front end has removed "{names}"')
 def step_not_removed(context, names):
     for domain in _DOMAINS:
-        gone = {
+        removed = {
             line["endpoint"]
             for line in front_end(context, domain).events("endpoint_gone")
         }
-        assert not gone & set(names.split(", ")), (domain, gone)
+        assert not removed & set(names.split(", ")), (domain, removed)
