--- a/libs/forward/src/rattanmill_forward/daemon.py
+++ b/libs/forward/src/rattanmill_forward/daemon.py
@@ -68,7 +68,7 @@
     Args:
         kv: The store.
         schema: The keys to watch.
-        front: Gets the configuration.
+        front_end: Gets the configuration.
         registry: Gets the endpoints.
     """
 
@@ -76,11 +76,11 @@
         self,
         kv: KeyValue,
         schema: StoreSchema,
-        front: FrontEnd,
+        front_end: FrontEnd,
         registry: EndpointRegistry,
     ) -> None:
         self.schema = schema
-        self.front = front
+        self.front_end = front_end
         self.registry = registry
         self.watches = (
             PrefixWatch(
@@ -103,7 +103,7 @@
     @property
     def is_synced(self) -> bool:
         """Whether configuration and endpoints are known."""
-        return self.front.route_table is not None and self.watches[1].synced
+        return self.front_end.route_table is not None and self.watches[1].synced
 
     def _on_config(self, key: str, value: bytes) -> None:
         table = self.schema.decode_config(key, value)
@@ -112,11 +112,15 @@
         if isinstance(table, str):
             warn_event("config_unreadable", key=key, why=table)
             return
-        known = self.front.route_table.version if self.front.route_table else 0
+        known = (
+            self.front_end.route_table.version
+            if self.front_end.route_table
+            else 0
+        )
         if table.version < known:
             log_event("config_old", version=table.version, known=known)
             return
-        self.front.route_table = table
+        self.front_end.route_table = table
         log_event("config_in_force", version=table.version, before=known)
 
     def _on_endpoint(self, key: str, value: bytes) -> None:
@@ -162,13 +166,13 @@
         lambda domain: _can_reach(domain, registry, pool),
     )
     domains.on_unreachable = pool.abort_domain
-    front = FrontEnd(
+    front_end = FrontEnd(
         codec,
         Dispatcher(registry, performance, pool, guard, domains, codec, metrics),
         TurnManager(keepers, metrics),
         metrics,
     )
-    store_sync = StoreSync(kv, schema, front, registry)
+    store_sync = StoreSync(kv, schema, front_end, registry)
     async with contextlib.AsyncExitStack() as stack:
         await stack.enter_async_context(members)
         for watch in store_sync.watches:
@@ -178,12 +182,12 @@
         stack.callback(sweep.cancel)
         pings = start_loop("pings", keepers.reach.ping_for_ever())
         stack.callback(pings.cancel)
-        cuts = start_loop("failure domains", domains.run())
-        stack.callback(cuts.cancel)
+        domain_checks = start_loop("failure domains", domains.run())
+        stack.callback(domain_checks.cancel)
         server = await listen(
             settings.callers,
-            front.serve,
-            ConnectionPolicy(front.limits, True, metrics),
+            front_end.serve,
+            ConnectionPolicy(front_end.limits, True, metrics),
             settings.grace_seconds
             - _DRAIN_NOTICE_SECONDS
             - _EXIT_MARGIN_SECONDS,
@@ -191,8 +195,8 @@
         stack.push_async_callback(server.cleanup)
         ready = await listen(
             settings.readiness,
-            _readiness(lambda: _is_ready(store_sync, front, keepers)),
-            ConnectionPolicy(front.limits, False, metrics),
+            _readiness(lambda: _is_ready(store_sync, front_end, keepers)),
+            ConnectionPolicy(front_end.limits, False, metrics),
             _EXIT_MARGIN_SECONDS / 2,
         )
         stack.push_async_callback(ready.cleanup)
@@ -201,18 +205,18 @@
         log_event("started", role="front", domain=settings.domain)
         await signals.stop.wait()
         if not signals.broken:
-            await _drain(front, server)
+            await _drain(front_end, server)
     if signals.broken:
         raise signals.broken
     log_event("stopped")
 
 
 def _is_ready(
-    store_sync: StoreSync, front: FrontEnd, keepers: KeeperClient
+    store_sync: StoreSync, front_end: FrontEnd, keepers: KeeperClient
 ) -> bool:
     return (
         store_sync.is_synced
-        and not front.is_draining
+        and not front_end.is_draining
         and not keepers.reach.is_cut_off()
     )
 
@@ -245,14 +249,14 @@
         pool.close_expired()
 
 
-async def _drain(front: FrontEnd, server: web.ServerRunner) -> None:
+async def _drain(front_end: FrontEnd, server: web.ServerRunner) -> None:
     """Finishes requests in progress and those that the balancer still sends.
 
     Idle connections are closed at once, busy ones when their request is done:
     if one were closed between its request and the response, the caller would
     not know whether the request ran.
     """
-    front.is_draining = True
+    front_end.is_draining = True
     await asyncio.sleep(_DRAIN_NOTICE_SECONDS)
     await server.cleanup()
-    log_event("drained", cut=front.active_requests)
+    log_event("drained", cut=front_end.active_requests)
