--- a/bench/counted.py
+++ b/bench/counted.py
@@ -70,7 +70,7 @@
 
     if what == "pings":
         reach = importlib.import_module("rattanmill_keeper.reach")
-        reach.Reach.ping_for_ever = wait
+        reach.Reachability.ping_forever = wait
     if what == "watches":
         relayed = importlib.import_module("rattanmill_keeper.relayed")
         relayed.RelayedKv.watch = wait
--- a/bench/storing.py
+++ b/bench/storing.py
@@ -143,7 +143,7 @@
         if phase.pings and self.pings is None:
             # Fronts do not start in step.
             await asyncio.sleep(random.uniform(0.0, 1.0))
-            self.pings = asyncio.create_task(self.keepers.reach.ping_for_ever())
+            self.pings = asyncio.create_task(self.keepers.reach.ping_forever())
         if phase.watches and not self.watches:
             self.watches = [
                 PrefixWatch(
--- a/libs/forward/src/rattanmill_forward/crashes.py
+++ b/libs/forward/src/rattanmill_forward/crashes.py
@@ -124,7 +124,7 @@
         if self.quarantine.take(note):
             event = "suspected" if note.endpoint else "cleared"
             self.metrics.count("rattanmill_quarantine", event=event)
-            self.keepers.reach.tell_crashes([note])
+            self.keepers.reach.publish_crashes([note])
 
 
 def fingerprint_of(call: Call, body: bytes) -> bytes:
--- a/libs/forward/src/rattanmill_forward/daemon.py
+++ b/libs/forward/src/rattanmill_forward/daemon.py
@@ -153,7 +153,7 @@
     guard = CrashGuard(book, pool, keepers, metrics)
     domains = Domains(
         settings.domain,
-        keepers.reach.domain_silences,
+        keepers.reach.domain_silence_seconds,
         lambda domain: _reaches(domain, book, pool),
     )
     domains.on_cut = pool.cut
@@ -171,7 +171,7 @@
         stack.callback(pool.close)
         sweeper = start_loop("sweep of connections", _sweep(pool))
         stack.callback(sweeper.cancel)
-        pings = start_loop("pings", keepers.reach.ping_for_ever())
+        pings = start_loop("pings", keepers.reach.ping_forever())
         stack.callback(pings.cancel)
         cuts = start_loop("failure domains", domains.watch_for_ever())
         stack.callback(cuts.cancel)
--- a/libs/forward/src/rattanmill_forward/turns.py
+++ b/libs/forward/src/rattanmill_forward/turns.py
@@ -78,7 +78,7 @@
             return refuse(
                 Reason.TURN_UNSURE,
                 "cut off: its next turns would not be found elsewhere",
-                retry_after=self.keepers.reach.moved_in(),
+                retry_after=self.keepers.reach.failover_seconds(),
             )
         try:
             history, permission = await asyncio.gather(
@@ -157,7 +157,7 @@
                 reach = self.keepers.reach
                 seconds = _AWAY_RETRY_SECONDS
                 if reach.is_cut_off():
-                    seconds = reach.moved_in()
+                    seconds = reach.failover_seconds()
                 return refuse(
                     Reason.BUDGET_UNRESERVED, why, retry_after=seconds
                 )
--- a/libs/keeper/src/rattanmill_keeper/__init__.py
+++ b/libs/keeper/src/rattanmill_keeper/__init__.py
@@ -2,8 +2,8 @@
 
 from rattanmill_keeper.client import KeeperClient
 from rattanmill_keeper.daemon import run_storage
-from rattanmill_keeper.emptying import EmptyingOrders
-from rattanmill_keeper.following import Following
+from rattanmill_keeper.emptying import DecommissionKeys
+from rattanmill_keeper.following import Follower
 from rattanmill_keeper.keeper import Keeper
 from rattanmill_keeper.lookup import KeptBy, NoSuchTurn
 from rattanmill_keeper.members import Member, Members, Registration
@@ -19,8 +19,8 @@
 from rattanmill_keeper.relayed import RelayedKv
 
 __all__ = [
-    "EmptyingOrders",
-    "Following",
+    "DecommissionKeys",
+    "Follower",
     "Keeper",
     "KeeperClient",
     "KeptBy",
--- a/libs/keeper/src/rattanmill_keeper/client.py
+++ b/libs/keeper/src/rattanmill_keeper/client.py
@@ -4,7 +4,7 @@
 from rattanmill_keeper.lookup import Lookup
 from rattanmill_keeper.members import Members
 from rattanmill_keeper.permits import Permits
-from rattanmill_keeper.reach import Reach
+from rattanmill_keeper.reach import Reachability
 
 
 class KeeperClient:
@@ -25,6 +25,6 @@
     def __init__(
         self, domain: str, copies: int, members: Members, metrics: Metrics
     ) -> None:
-        self.reach = Reach(domain, members, metrics)
+        self.reach = Reachability(domain, members, metrics)
         self.permits = Permits(self.reach)
         self.lookup = Lookup(self.reach, copies)
--- a/libs/keeper/src/rattanmill_keeper/daemon.py
+++ b/libs/keeper/src/rattanmill_keeper/daemon.py
@@ -11,8 +11,8 @@
     log_event,
     serve_metrics,
 )
-from rattanmill_keeper.emptying import Emptying, EmptyingOrders
-from rattanmill_keeper.following import Following
+from rattanmill_keeper.emptying import Decommission, DecommissionKeys
+from rattanmill_keeper.following import Follower
 from rattanmill_keeper.keeper import Keeper
 from rattanmill_keeper.members import Member, Members, Registration
 from rattanmill_keeper.messages import codec
@@ -23,7 +23,7 @@
 async def run_storage(
     settings: InstanceSettings,
     kv: KeyValue,
-    orders: EmptyingOrders,
+    orders: DecommissionKeys,
     metrics: Metrics,
     on_reload: Callable[[], None],
 ) -> None:
@@ -36,7 +36,7 @@
     signals = Signals()
     signals.install(on_reload)
     members = Members(kv)
-    members.lost_disks = settings.lost_disks
+    members.tolerated_disk_losses = settings.lost_disks
     keeper = Keeper(
         settings.name,
         pathlib.Path(settings.data_folder),
@@ -56,12 +56,12 @@
         )
         registration = Registration(kv, member)
         registration.is_listed = members.is_listed
-        keeper.is_confirmed = lambda: registration.is_confirmed
-        registration.on_lapse = keeper.stop_to_count
+        keeper.is_lease_valid = lambda: registration.is_lease_valid
+        registration.on_lapse = keeper.mark_possibly_excluded
         await stack.enter_async_context(registration)
-        await stack.enter_async_context(Following(keeper, members))
+        await stack.enter_async_context(Follower(keeper, members))
         await stack.enter_async_context(
-            Emptying(keeper, members, registration, kv, orders)
+            Decommission(keeper, members, registration, kv, orders)
         )
         runner = await serve_metrics(settings.ip, metrics)
         stack.push_async_callback(runner.cleanup)
@@ -70,7 +70,7 @@
             role="storage",
             domain=settings.domain,
             first_start=settings.first_start,
-            whole=keeper.whole,
+            whole=keeper.is_recovered,
         )
         await signals.stop.wait()
     if signals.broken:
--- a/libs/keeper/src/rattanmill_keeper/emptying.py
+++ b/libs/keeper/src/rattanmill_keeper/emptying.py
@@ -32,7 +32,7 @@
 _ACCOUNTS = 200
 
 
-class EmptyingOrders(msgspec.Struct, frozen=True):
+class DecommissionKeys(msgspec.Struct, frozen=True):
     """Where operators ask for it and how they are answered.
 
     Attributes:
@@ -48,7 +48,7 @@
     completed: bytes
 
 
-class Emptying:
+class Decommission:
     """Waits for the order and carries it out.
 
     Args:
@@ -65,14 +65,14 @@
         members: Members,
         registration: Registration,
         kv: KeyValue,
-        orders: EmptyingOrders,
+        orders: DecommissionKeys,
     ) -> None:
         self.keeper = keeper
         self.members = members
         self.registration = registration
         self.kv = kv
         self.orders = orders
-        self.ordered = asyncio.Event()
+        self.requested = asyncio.Event()
         self.watch = PrefixWatch(
             kv,
             orders.prefix + keeper.name,
@@ -95,17 +95,17 @@
     def notice(self, key: str, value: bytes) -> None:
         """Takes an order; one for another may begin with this one's name."""
         if key == self.orders.prefix + self.keeper.name:
-            self.ordered.set()
+            self.requested.set()
 
     async def _run(self) -> None:
-        await self.ordered.wait()
+        await self.requested.wait()
         log_event("emptying_begun", turns=len(self.keeper.table.held))
         await self._say(self.orders.running)
-        self.keeper.leaving = True
+        self.keeper.is_decommissioning = True
         await self._register(leaving=True)
         await asyncio.sleep(_SETTLE_SECONDS)
         await self._until(self._are_enough)
-        await self.hand_over_all()
+        await self.transfer_all()
         await self._until(self._is_followed)
         await self._register(emptied=True)
         await self._say(self.orders.completed)
@@ -117,7 +117,7 @@
     async def _register(self, **state: bool) -> None:
         """Returns when the store lists this instance in a new state."""
         member = msgspec.structs.replace(self.registration.member, **state)
-        self.registration.change(member)
+        self.registration.update(member)
         await self._until(self._is_listed)
 
     async def _is_listed(self) -> bool:
@@ -132,8 +132,8 @@
         """
         if not self.members.unlisted():
             return True
-        domains = self.members.domains()
-        return len(domains) > self.members.lost_disks
+        domains = self.members.writable_domains()
+        return len(domains) > self.members.tolerated_disk_losses
 
     async def _is_followed(self) -> bool:
         """Whether the others have all that was agreed to here.
@@ -142,7 +142,7 @@
         """
         position = self.keeper.intake.position
         return all(
-            self.keeper.followed.get(name, -1) >= position
+            self.keeper.follower_positions.get(name, -1) >= position
             for name, member in self.members.known.items()
             if not member.leaving and not self.members.link(member).failures
         )
@@ -165,22 +165,22 @@
                 await self.kv.write(key, value, entry.revision if entry else 0)
             await asyncio.sleep(_PAUSE_SECONDS)
 
-    async def hand_over_all(self) -> None:
+    async def transfer_all(self) -> None:
         """Returns when the others have all, and nothing more is taken here.
 
         Fronts whose list lags go on sending turns and reservations. Taken,
         they would be gone with this disk.
         """
-        await self._until(self.hand_over)
-        await self._until(self.spread)
+        await self._until(self.transfer_accounts)
+        await self._until(self.replicate_turns)
         self.keeper.is_closed = True
-        await self._until(self.hand_over)
-        await self._until(self.spread)
+        await self._until(self.transfer_accounts)
+        await self._until(self.replicate_turns)
 
-    async def hand_over(self) -> bool:
+    async def transfer_accounts(self) -> bool:
         """Tells the other holders of accounts all; whether they know it."""
         by_holder: dict[str, list[Account]] = {}
-        await self.keeper.leave_shares()
+        await self.keeper.close_shares()
         for account in self.keeper.ledger.accounts.values():
             for holder in account.place.holders:
                 if holder in self.members.known and holder != self.keeper.name:
@@ -203,7 +203,7 @@
         )
         return isinstance(reply, Done)
 
-    async def spread(self) -> bool:
+    async def replicate_turns(self) -> bool:
         """Sees to it that the others hold all turns; whether they do."""
         turns = self.keeper.table.held
         wanted: dict[str, list[str]] = {}
--- a/libs/keeper/src/rattanmill_keeper/following.py
+++ b/libs/keeper/src/rattanmill_keeper/following.py
@@ -46,11 +46,11 @@
 
     run: str = ""
     position: int = 0
-    ended: bool = False
+    has_caught_up: bool = False
     absent: frozenset[str] = frozenset()
 
 
-class Following:
+class Follower:
     """Keeps one task for each other storage instance.
 
     Args:
@@ -63,7 +63,7 @@
         self.members = members
         self.progress: dict[str, Progress] = {}
         self.tasks: dict[str, asyncio.Task] = {}
-        self.sharing: frozenset[str] = frozenset()
+        self.domain_peers: frozenset[str] = frozenset()
         self.started = asyncio.get_running_loop().time()
         self.task: asyncio.Task | None = None
 
@@ -83,24 +83,24 @@
                     self.tasks[name] = start_loop(
                         f"following of {name}", self._follow(name)
                     )
-            self.review_share()
-            if not self.keeper.whole and self.is_complete():
-                self.keeper.mark_whole()
+            self.update_domain_peers()
+            if not self.keeper.is_recovered and self.is_complete():
+                self.keeper.mark_recovered()
             await asyncio.sleep(_POLL_SECONDS / 2)
 
-    def review_share(self) -> None:
+    def update_domain_peers(self) -> None:
         """Follows all anew when this instance has to hold other turns.
 
         Members of its domain share the turns. When one comes, goes or falls
         silent, turns that were passed over before may have to be here now.
         """
         sharing = self._sharing()
-        if sharing == self.sharing:
+        if sharing == self.domain_peers:
             return
-        self.sharing = sharing
+        self.domain_peers = sharing
         for progress in self.progress.values():
             progress.run = ""
-            progress.ended = False
+            progress.has_caught_up = False
         log_event("share_reviewed", keepers=sorted(sharing))
 
     def _sharing(self) -> frozenset[str]:
@@ -130,18 +130,18 @@
         told = [self.progress.get(name, Progress()) for name in others]
         # One that is out of reach may be the only one with what was lost here.
         absent = set().union(*(each.absent for each in told)) - set(others)
-        return all(each.ended for each in told) and not absent
+        return all(each.has_caught_up for each in told) and not absent
 
     async def _follow(self, name: str) -> None:
         while True:
             member = self.members.known.get(name)
             more = False
             if member and not self.keeper.is_closed:
-                more = await self.step(member)
+                more = await self.fetch_page(member)
             if not more:
                 await asyncio.sleep(_POLL_SECONDS)
 
-    async def step(self, member: Member) -> bool:
+    async def fetch_page(self, member: Member) -> bool:
         """Takes the next page; whether there is more at once."""
         progress = self.progress.setdefault(member.name, Progress())
         link = self.members.link(member)
@@ -159,8 +159,8 @@
             return False
         if news.run != progress.run:
             log_event("following_anew", keeper=member.name, run=news.run)
-            progress.ended = False
-        self.members.hear_of(news.revision)
+            progress.has_caught_up = False
+        self.members.expect_revision(news.revision)
         changes = [
             change
             for home in news.homes
@@ -176,11 +176,11 @@
         progress.position = news.position
         progress.absent = frozenset(news.absent)
         if news.is_counted and not news.more:
-            self.keeper.unheard.discard(member.name)
+            self.keeper.unsynced_peers.discard(member.name)
         if news.whole and not news.more:
-            self.keeper.level_at[member.name] = began
-        if not news.more and not progress.ended:
-            progress.ended = True
+            self.keeper.caught_up_at[member.name] = began
+        if not news.more and not progress.has_caught_up:
+            progress.has_caught_up = True
             log_event(
                 "following_level", keeper=member.name, position=news.position
             )
@@ -198,7 +198,7 @@
         reply = await link.ask(FetchAccounts(programs), 2 * _ASK_SECONDS)
         if not isinstance(reply, Accounts):
             return False
-        await self.keeper.take_accounts(reply.accounts)
+        await self.keeper.persist_accounts(reply.accounts)
         return True
 
     async def _fetch(self, member: Member, turns: list[TurnRef]) -> bool:
@@ -206,7 +206,7 @@
         mine = [
             ref.turn
             for ref in turns
-            if _keeper_of(ref.key, self.sharing) == self.keeper.name
+            if _keeper_of(ref.key, self.domain_peers) == self.keeper.name
         ]
         lacking = self.keeper.table.lacking(mine)
         link = self.members.link(member)
--- a/libs/keeper/src/rattanmill_keeper/homes.py
+++ b/libs/keeper/src/rattanmill_keeper/homes.py
@@ -17,7 +17,7 @@
 
 from rattanmill_core import log_event, wall_seconds
 from rattanmill_keeper.ledger import Ledger
-from rattanmill_keeper.members import ROSTER_SECONDS, Members
+from rattanmill_keeper.members import ROSTER_EXPIRY_SECONDS, Members
 from rattanmill_keeper.messages import (
     Agree,
     Agreed,
@@ -105,7 +105,7 @@
         ledger: What this instance knows.
         members: The storage instances.
     """
-    if members.store_silence() > ROSTER_SECONDS / 2:
+    if members.store_silence_seconds() > ROSTER_EXPIRY_SECONDS / 2:
         return Unsure("cut off for too long to know all others")
     roster = members.roster() | {ledger.name}
     ask = Agree(program, ledger.name, holders, sorted(roster))
@@ -113,7 +113,7 @@
     newer = [r for r in replies.values() if isinstance(r, Outdated)]
     if newer:
         unknown = set().union(*(r.roster for r in newer)) - roster
-        members.seen.update(dict.fromkeys(unknown, wall_seconds()))
+        members.last_seen.update(dict.fromkeys(unknown, wall_seconds()))
         roster |= unknown
         ask = msgspec.structs.replace(ask, roster=sorted(roster))
         replies = await _ask_others(ask, members)
@@ -122,7 +122,9 @@
         return Unsure("another instance is opening the account")
     consent = _consent(replies, ask, ledger)
     agreed = len(roster - consent.missing) - 1
-    verdict = judge(len(roster), agreed, len(refused), members.lost_disks)
+    verdict = judge(
+        len(roster), agreed, len(refused), members.tolerated_disk_losses
+    )
     if verdict is Next.OPEN:
         return consent
     if verdict is Next.ASK_STORE and _are_closed(refused, replies, ledger):
--- a/libs/keeper/src/rattanmill_keeper/joint.py
+++ b/libs/keeper/src/rattanmill_keeper/joint.py
@@ -38,7 +38,7 @@
     answer: asyncio.Future[StoreItems | None]
 
 
-class JointWait:
+class JointWatch:
     """Waits for changes of all prefixes at once.
 
     Attributes:
--- a/libs/keeper/src/rattanmill_keeper/keeper.py
+++ b/libs/keeper/src/rattanmill_keeper/keeper.py
@@ -142,14 +142,14 @@
         self.run = uuid.uuid4().hex[:12]
         self.crashes = CrashBoard(self.run)
         self.first_start = first_start
-        self.whole = first_start
+        self.is_recovered = first_start
         # A disk that is new or was lost may have held what was granted alone.
         self.alone_from = 0.0 if first_start else float("inf")
-        self.is_confirmed: Callable[[], bool] = lambda: True
-        self.unheard: set[str] = set()
-        self.followed: dict[str, int] = {}
-        self.level_at: dict[str, float] = {}
-        self.leaving = False
+        self.is_lease_valid: Callable[[], bool] = lambda: True
+        self.unsynced_peers: set[str] = set()
+        self.follower_positions: dict[str, int] = {}
+        self.caught_up_at: dict[str, float] = {}
+        self.is_decommissioning = False
         self.is_closed = False
         self.may_open = may_open
         self.noted: set[str] = set()
@@ -159,11 +159,11 @@
         self._restore()
         if not self.first_start:
             # Its registration may have lapsed while it was down.
-            self.stop_to_count()
+            self.mark_possibly_excluded()
         await self.journal.__aenter__()
         await self.mirrors.__aenter__()
-        if self.whole:
-            self.mark_whole()
+        if self.is_recovered:
+            self.mark_recovered()
         self.sweeper = start_loop("sweep of turns", self._sweep_for_ever())
         return self
 
@@ -173,12 +173,12 @@
         await self.mirrors.__aexit__(*exc_info)
         await self.journal.__aexit__(*exc_info)
 
-    def mark_whole(self) -> None:
+    def mark_recovered(self) -> None:
         """Says, also on disk, that nothing is missing here."""
-        if not self.whole:
+        if not self.is_recovered:
             log_event("keeper_whole", turns=len(self.table.held))
             self.alone_from = wall_seconds() + FORGET_SECONDS
-        self.whole = True
+        self.is_recovered = True
         write_mark(self.folder, Mark(self.alone_from))
 
     async def serve(self, message: msgspec.Struct) -> msgspec.Struct:
@@ -219,7 +219,7 @@
                 return self._merge(accounts)
             case Ping():
                 pong = self.crashes.answer(message)
-                pong.revision = self.members.changed
+                pong.revision = self.members.changed_revision
                 return pong
             case Crashed(notes=notes):
                 self.crashes.add(notes)
@@ -236,7 +236,7 @@
             return Unsure("emptied")
         if ask.alone:
             return await self._reserve_alone(ask)
-        if not self.whole:
+        if not self.is_recovered:
             return Unsure("not whole yet")
         decision = self.ledger.record(ask)
         if not isinstance(decision, Recording):
@@ -249,8 +249,9 @@
         return decision.reply
 
     async def _reserve_alone(self, ask: Reserve) -> Reserved | Full | Unsure:
-        may_begin = self.may_begin_share() and self.members.are_silent(
-            self.name
+        may_begin = (
+            self.may_create_share()
+            and self.members.are_others_unresponsive(self.name)
         )
         decision = self.ledger.record_alone(ask, may_begin)
         if not isinstance(decision, ShareChange):
@@ -259,7 +260,7 @@
         await self._append(decision)
         return Reserved(decision.share.taken)
 
-    def may_begin_share(self) -> bool:
+    def may_create_share(self) -> bool:
         """Whether it may grant alone to programs that it has not heard of.
 
         Not where it may have done so on a disk that was lost since. Nor with
@@ -268,21 +269,21 @@
         """
         roster = self.members.roster()
         return (
-            self.whole
-            and not self.leaving
+            self.is_recovered
+            and not self.is_decommissioning
             and wall_seconds() > self.alone_from
-            and self.is_confirmed()
-            and not self.unheard & roster
+            and self.is_lease_valid()
+            and not self.unsynced_peers & roster
             and len(roster | {self.name}) <= MOST_SHARING
         )
 
-    def stop_to_count(self) -> None:
+    def mark_possibly_excluded(self) -> None:
         """Notes that this instance was perhaps not counted by the others.
 
         Until each has told what they agreed to, it grants nothing alone to
         programs that it has not heard of.
         """
-        self.unheard = self.members.roster() - {self.name}
+        self.unsynced_peers = self.members.roster() - {self.name}
 
     async def give_back(self, program: str) -> GivenBack | Unsure:
         """Grants no more alone; answers once that is on disk."""
@@ -292,7 +293,7 @@
         await self._append(change)
         return GivenBack(change.share.taken)
 
-    async def leave_shares(self) -> None:
+    async def close_shares(self) -> None:
         """Returns when what this instance alone may grant is given back."""
         changes = [
             change
@@ -322,7 +323,7 @@
     def fetch(self, turn: str) -> Chain:
         """Returns a turn and all that it continues, as far as held here."""
         chain = self.table.chain(turn)
-        chain.whole = self.whole
+        chain.whole = self.is_recovered
         if chain.missing:
             chain.unlisted = self.members.unlisted()
         return chain
@@ -338,9 +339,9 @@
         found = self.ledger.find(ask.program)
         if not isinstance(found, Opening):
             return found
-        if not self.whole:
+        if not self.is_recovered:
             return Unsure("not whole yet")
-        if self.leaving:
+        if self.is_decommissioning:
             return Unsure("being emptied")
         if ask.program in self.ledger.opening:
             return Unsure("the account is being opened")
@@ -411,7 +412,7 @@
     ) -> Place:
         """Finds out for whom a part of the budget has to be reserved."""
         sharers = consent.having | consent.missing
-        if not sharers and not is_old and self.may_begin_share():
+        if not sharers and not is_old and self.may_create_share():
             sharers = frozenset([self.name])
         # What callers allow beyond the budget is one turn, for all together.
         granting = len(consent.having) + min(len(sharers - consent.having), 1)
@@ -420,16 +421,18 @@
         return Place(holders, tuple(sorted(sharers)), reserved)
 
     async def _agree(self, ask: Agree) -> Agreed | Refused | Unsure:
-        if not self.whole:
+        if not self.is_recovered:
             return Unsure("not whole yet")
-        if self.leaving:
+        if self.is_decommissioning:
             return Unsure("being emptied")
         roster = self.members.roster()
         if not roster <= set(ask.roster):
             return Outdated(sorted(roster))
         unknown = set(ask.roster) - roster
         if unknown:
-            self.members.seen.update(dict.fromkeys(unknown, wall_seconds()))
+            self.members.last_seen.update(
+                dict.fromkeys(unknown, wall_seconds())
+            )
         decision = self.ledger.agree(ask)
         if isinstance(decision, Refused):
             return decision
@@ -460,9 +463,9 @@
             self.intake.add(kept.turn)
 
     def _news(self, ask: Follow) -> News:
-        self.members.meet(ask.asker, ask.asker_run)
+        self.members.record_seen(ask.asker, ask.asker_run)
         after = ask.after if ask.run == self.run else 0
-        self.followed[ask.asker] = after
+        self.follower_positions[ask.asker] = after
         entries = self.intake.since(after, _PAGE)
         accounts: list[AccountRef] = []
         homes: list[Home] = []
@@ -485,9 +488,9 @@
             turns,
             homes,
             accounts,
-            self.whole,
+            self.is_recovered,
             position < self.intake.position,
-            self.members.changed,
+            self.members.changed_revision,
             ask.asker in self.members.known,
             self._absent_for(ask),
         )
@@ -497,30 +500,31 @@
 
         Not those that went before this instance had all that the asker had.
         """
-        if self.members.is_new(ask.asker, ask.asker_run):
+        if self.members.is_first_run(ask.asker, ask.asker_run):
             return []
-        level_at = self.level_at.get(ask.asker, float("-inf"))
+        caught_up_at = self.caught_up_at.get(ask.asker, float("-inf"))
         lost_at = self.members.lost_at
         return [
             name
             for name in self.members.unlisted()
-            if name != ask.asker and lost_at.get(name, float("inf")) >= level_at
+            if name != ask.asker
+            and lost_at.get(name, float("inf")) >= caught_up_at
         ]
 
     async def _merge(self, accounts: list[Account]) -> Done | Unsure:
-        if not self.whole or self.is_closed:
+        if not self.is_recovered or self.is_closed:
             return Unsure("not whole, or emptied")
-        await self.take_accounts(accounts)
+        await self.persist_accounts(accounts)
         return Done()
 
-    async def take_accounts(self, accounts: list[Account]) -> None:
+    async def persist_accounts(self, accounts: list[Account]) -> None:
         """Returns when what other holders know is on disk here."""
         await asyncio.gather(*map(self._append, self.merge(accounts)))
 
     def _restore(self) -> None:
         mark = read_mark(self.folder)
         if mark is not None:
-            self.whole = True
+            self.is_recovered = True
             self.alone_from = mark.alone_from
         records = 0
         for stored in self.journal.read():
@@ -528,7 +532,7 @@
             if isinstance(record, KeptTurn):
                 self.table.add(record, stored.segment)
             elif isinstance(record, RosterChange):
-                self.members.recall(record.seen)
+                self.members.restore_seen(record.seen)
             elif record is not None:
                 self.ledger.restore(record)
             records += 1
@@ -542,7 +546,7 @@
             turns=len(self.table.held),
             accounts=len(self.ledger.accounts),
             homes=len(self.ledger.homes),
-            whole=self.whole,
+            whole=self.is_recovered,
         )
 
     def _snapshot(self) -> list[bytes]:
@@ -551,9 +555,13 @@
 
     def _roster(self) -> RosterChange:
         members = self.members
-        gone = members.emptied - members.known.keys()
+        gone = members.decommissioned - members.known.keys()
         return RosterChange(
-            {name: at for name, at in members.seen.items() if name not in gone}
+            {
+                name: at
+                for name, at in members.last_seen.items()
+                if name not in gone
+            }
         )
 
     def _note_roster(self) -> None:
--- a/libs/keeper/src/rattanmill_keeper/lookup.py
+++ b/libs/keeper/src/rattanmill_keeper/lookup.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from rattanmill_core import log_event, loop_seconds
-from rattanmill_keeper.members import HELD_SECONDS, Member
+from rattanmill_keeper.members import TURN_HOLDER_SECONDS, Member
 from rattanmill_keeper.messages import (
     Chain,
     Done,
@@ -16,7 +16,7 @@
     KeptTurn,
     Unsure,
 )
-from rattanmill_keeper.reach import Reach
+from rattanmill_keeper.reach import Reachability
 
 _KEEP_SECONDS = 0.4
 _FETCH_SECONDS = 0.3
@@ -94,7 +94,7 @@
         copies: Failure domains in which a turn must be on disk.
     """
 
-    def __init__(self, reach: Reach, copies: int) -> None:
+    def __init__(self, reach: Reachability, copies: int) -> None:
         self.reach = reach
         self.copies = copies
         self.cache = TurnCache()
@@ -175,7 +175,7 @@
             why=gap.doubt,
             keepers=sorted(members.known),
             revision=members.watch.revision,
-            heard_s=round(members.store_silence(), 3),
+            heard_s=round(members.store_silence_seconds(), 3),
         )
 
     async def _has_news(self, asked: dict[str, Member], gap: Gap) -> bool:
@@ -248,16 +248,16 @@
                 m.domain != self.reach.domain,
             ),
         )
-        there = [m for m in members if not self.reach.is_away(m)]
-        away = [m for m in members if self.reach.is_away(m)]
+        there = [m for m in members if not self.reach.is_unresponsive(m)]
+        away = [m for m in members if self.reach.is_unresponsive(m)]
         return [group for group in (there[:1], there[1:], away) if group]
 
     def _doubt_lost(self, gap: Gap) -> str:
         """Names instances that may have a turn and are not listed any more."""
         members = self.reach.members
-        oldest = loop_seconds() - HELD_SECONDS
+        oldest = loop_seconds() - TURN_HOLDER_SECONDS
         lost = {name for name, at in members.lost_at.items() if at > oldest}
-        lost |= gap.unlisted - members.known.keys() - members.emptied
+        lost |= gap.unlisted - members.known.keys() - members.decommissioned
         return f"{', '.join(sorted(lost))} may have it" if lost else ""
 
 
--- a/libs/keeper/src/rattanmill_keeper/members.py
+++ b/libs/keeper/src/rattanmill_keeper/members.py
@@ -38,23 +38,23 @@
 _WAIT_SECONDS = 10.0
 # A member that was not seen for so long is no longer counted when an account
 # is opened. One that was cut off opens none after half of it, see ``homes``.
-ROSTER_SECONDS = 3600.0
+ROSTER_EXPIRY_SECONDS = 3600.0
 # Whoever was lost longer ago held no turn that is still kept; twice the
 # retention in use.
-HELD_SECONDS = 120.0
+TURN_HOLDER_SECONDS = 120.0
 # A member whose registration has lapsed for so long is not counted any more,
 # see ``Members.roster``. By then it has stopped to grant alone, which it does
 # only for ``CONFIRMED_SECONDS`` after its last renewal: a lease less, so that
 # neither a slow answer of the store nor clocks that run apart matter.
 _LAPSED_SECONDS = 10.0
-CONFIRMED_SECONDS = 8.0
+LEASE_VALID_SECONDS = 8.0
 # Without the store nobody can tell whether it has come back meanwhile.
 _HEARD_SECONDS = 12.0
 # Disks that may be lost at once where nothing else is said.
 _LOST_DISKS = 1
 # An entry that is missing after an outage of the store may only have lapsed
 # meanwhile: its holder registers again within about two renewals.
-GRACE_SECONDS = 6.0
+REGISTRATION_GRACE_SECONDS = 6.0
 # A slow store answers in 0.2 s; a caller waits meanwhile.
 _CATCH_UP_SECONDS = 0.3
 # A watch tells of a change within milliseconds if it tells of it at all.
@@ -145,15 +145,15 @@
         self.kv = kv
         self.store = store or kv
         self.on_change = on_change
-        self.lost_disks = _LOST_DISKS
+        self.tolerated_disk_losses = _LOST_DISKS
         self.known: dict[str, Member] = {}
-        self.key = uuid.uuid4().hex
+        self.rank_key = uuid.uuid4().hex
         self.ordered: list[Member] = []
         self.by_domain: dict[str, list[Member]] = {}
         self.lost_at: dict[str, float] = {}
-        self.emptied: set[str] = set()
+        self.decommissioned: set[str] = set()
         self.first_runs: dict[str, str] = {}
-        self.seen: dict[str, float] = {}
+        self.last_seen: dict[str, float] = {}
         self.recalled: dict[str, float] = {}
         self.links: dict[str, RequestLink] = {}
         self.codec = codec()
@@ -161,9 +161,9 @@
             kv,
             PREFIX,
             _WAIT_SECONDS,
-            self._written,
-            self._removed,
-            GRACE_SECONDS,
+            self._on_written,
+            self._on_removed,
+            REGISTRATION_GRACE_SECONDS,
         )
         self.unregistered: set[str] = set()
         self.late: asyncio.Task | None = None
@@ -190,56 +190,56 @@
         that was emptied has told the others all that it agreed to.
         """
         now = wall_seconds()
-        self.seen.update(dict.fromkeys(self.known, now))
-        oldest = now - ROSTER_SECONDS
-        left_out = self.emptied | self._lapsed()
+        self.last_seen.update(dict.fromkeys(self.known, now))
+        oldest = now - ROSTER_EXPIRY_SECONDS
+        left_out = self.decommissioned | self._lapsed()
         return {
             name
-            for name, at in self.seen.items()
+            for name, at in self.last_seen.items()
             if at > oldest and (name in self.known or name not in left_out)
         }
 
     def _lapsed(self) -> set[str]:
         """Returns the one member that was lost first, if long enough ago."""
         now = loop_seconds()
-        if self.store_silence() > _HEARD_SECONDS or not self.lost_at:
+        if self.store_silence_seconds() > _HEARD_SECONDS or not self.lost_at:
             return set()
         first = min(self.lost_at, key=self.lost_at.__getitem__)
         is_long = now - self.lost_at[first] > _LAPSED_SECONDS
         return {first} if is_long else set()
 
-    def recall(self, seen: dict[str, float]) -> None:
+    def restore_seen(self, seen: dict[str, float]) -> None:
         """Takes what was written down before this process started.
 
         That is done when somebody comes or goes, perhaps hours ago: all that
         were there may have been until just now.
         """
         newest = max(seen.values(), default=0.0)
-        self.seen.update(seen)
-        until = loop_seconds() + HELD_SECONDS
+        self.last_seen.update(seen)
+        until = loop_seconds() + TURN_HOLDER_SECONDS
         self.recalled = {
             name: until
             for name, at in seen.items()
-            if at > newest - HELD_SECONDS
+            if at > newest - TURN_HOLDER_SECONDS
         }
 
-    def meet(self, name: str, run: str) -> None:
+    def record_seen(self, name: str, run: str) -> None:
         """Notes that a member is there, and whether it is new."""
-        if name not in self.seen:
+        if name not in self.last_seen:
             self.first_runs[name] = run
-        self.seen[name] = wall_seconds()
+        self.last_seen[name] = wall_seconds()
 
-    def is_new(self, name: str, run: str) -> bool:
+    def is_first_run(self, name: str, run: str) -> bool:
         """Whether a member is in its first run, with a disk that was empty."""
         return self.first_runs.get(name) == run
 
     def unlisted(self) -> list[str]:
         """Returns members that may hold turns though nobody lists them."""
-        oldest = wall_seconds() - HELD_SECONDS
+        oldest = wall_seconds() - TURN_HOLDER_SECONDS
         now = loop_seconds()
-        late = {name for name, at in self.seen.items() if at > oldest}
+        late = {name for name, at in self.last_seen.items() if at > oldest}
         late |= {name for name, at in self.recalled.items() if at > now}
-        return sorted(late - self.known.keys() - self.emptied)
+        return sorted(late - self.known.keys() - self.decommissioned)
 
     def is_listed(self, key: str, value: bytes) -> bool:
         """Whether the store lists a registration just so, as last heard."""
@@ -247,11 +247,11 @@
         return is_heard and self.watch.values.get(key) == value
 
     @property
-    def changed(self) -> int:
+    def changed_revision(self) -> int:
         """Revision of the newest change of the list that was heard of."""
         return self.watch.changed
 
-    def store_silence(self) -> float:
+    def store_silence_seconds(self) -> float:
         """Returns the seconds since the store was last heard."""
         return loop_seconds() - self.watch.heard_at
 
@@ -269,7 +269,7 @@
                 self.ended_reading = self.readings
             return self.is_level
 
-    def hear_of(self, revision: int) -> None:
+    def expect_revision(self, revision: int) -> None:
         """Another instance has heard of a change with this revision.
 
         A watch that has gone silent would tell of it only after its time.
@@ -317,10 +317,10 @@
         there = list(self.known.values())
         if there != self.ordered:
             self.ordered = there
-            self.by_domain = _by_domain(self.key, there)
+            self.by_domain = _by_domain(self.rank_key, there)
         return self.by_domain
 
-    def domains(self) -> dict[str, list[Member]]:
+    def writable_domains(self) -> dict[str, list[Member]]:
         """Returns members that take something new, by failure domain."""
         taking = {
             domain: [member for member in there if not member.leaving]
@@ -331,12 +331,12 @@
     def replicas(self, key: str) -> list[Member]:
         """Returns the member of each failure domain that keeps a key."""
         chosen = []
-        for members in self.domains().values():
+        for members in self.writable_domains().values():
             by_name = {member.name: member for member in members}
             chosen.append(by_name[rank(key, by_name)[0]])
         return chosen
 
-    def are_silent(self, name: str) -> bool:
+    def are_others_unresponsive(self, name: str) -> bool:
         """Whether none but ``name`` itself answered when it was last asked."""
         others = [
             member for member in self.known.values() if member.name != name
@@ -365,7 +365,7 @@
         ranked.sort(key=lambda other: bool(self.link(others[other]).failures))
         chosen = [name]
         taken = collections.Counter([mine.domain if mine else ""])
-        wanted = min(2 * self.lost_disks + 1, len(others) + 1)
+        wanted = min(2 * self.tolerated_disk_losses + 1, len(others) + 1)
         for most in itertools.count(1):
             for other in ranked:
                 domain = others[other].domain
@@ -387,14 +387,14 @@
             self.links[member.name] = link
         return link
 
-    def _written(self, key: str, value: bytes) -> None:
+    def _on_written(self, key: str, value: bytes) -> None:
         try:
             member = msgspec.json.decode(value, type=Member)
         except msgspec.DecodeError as error:
             warn_event("keeper_undecodable", key=key, why=str(error))
             return
         before = self.known.get(member.name)
-        self.meet(member.name, member.run)
+        self.record_seen(member.name, member.run)
         self.known[member.name] = member
         self.lost_at.pop(member.name, None)
         self.unregistered.discard(member.name)
@@ -409,7 +409,7 @@
             )
         self.on_change()
 
-    def _removed(self, key: str) -> None:
+    def _on_removed(self, key: str) -> None:
         self._drop(key.removeprefix(PREFIX))
 
     def _drop(self, name: str) -> None:
@@ -426,10 +426,10 @@
             return
         del self.known[name]
         self.unregistered.discard(name)
-        self.seen[name] = wall_seconds()
+        self.last_seen[name] = wall_seconds()
         # One that was killed or cut off while it was emptied only leaves.
         if member.emptied:
-            self.emptied.add(name)
+            self.decommissioned.add(name)
         else:
             self.lost_at[name] = loop_seconds()
         log_event(
@@ -486,12 +486,12 @@
             self.task.cancel()
 
     @property
-    def is_confirmed(self) -> bool:
+    def is_lease_valid(self) -> bool:
         """Whether the lease was renewed so lately that it can't have lapsed.
 
         By a clock that goes on while the machine is suspended.
         """
-        return boot_seconds() - self.confirmed_at < CONFIRMED_SECONDS
+        return boot_seconds() - self.confirmed_at < LEASE_VALID_SECONDS
 
     async def end(self) -> None:
         """Ends the registration at once."""
@@ -500,7 +500,7 @@
         if self.lease:
             await self.kv.revoke(self.lease)
 
-    def change(self, member: Member) -> None:
+    def update(self, member: Member) -> None:
         """Registers this instance anew, as it is now."""
         self.member = member
         self.wake.set()
--- a/libs/keeper/src/rattanmill_keeper/mirror.py
+++ b/libs/keeper/src/rattanmill_keeper/mirror.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from rattanmill_core import loop_seconds
-from rattanmill_keeper.members import GRACE_SECONDS, PREFIX
+from rattanmill_keeper.members import PREFIX, REGISTRATION_GRACE_SECONDS
 from rattanmill_keeper.messages import (
     StoreItem,
     StoreItems,
@@ -219,7 +219,9 @@
     async def _mirror(self, prefix: str) -> Mirror:
         mirror = self.mirrors.get(prefix)
         if mirror is None:
-            grace = GRACE_SECONDS if prefix == PREFIX else BACK_SECONDS
+            grace = (
+                REGISTRATION_GRACE_SECONDS if prefix == PREFIX else BACK_SECONDS
+            )
             mirror = Mirror(self.kv, prefix, grace, self.news)
             self.mirrors[prefix] = mirror
             await self.stack.enter_async_context(mirror.watch)
--- a/libs/keeper/src/rattanmill_keeper/permits.py
+++ b/libs/keeper/src/rattanmill_keeper/permits.py
@@ -30,7 +30,7 @@
     Spent,
     Unsure,
 )
-from rattanmill_keeper.reach import Reach
+from rattanmill_keeper.reach import Reachability
 
 # An instance that opens an account asks the others (0.15 s at most) and
 # perhaps the store (0.3 s).
@@ -68,7 +68,7 @@
         reach: The storage instances.
     """
 
-    def __init__(self, reach: Reach) -> None:
+    def __init__(self, reach: Reachability) -> None:
         self.reach = reach
         self.opened: collections.OrderedDict[str, Opened] = (
             collections.OrderedDict()
@@ -113,7 +113,7 @@
     async def _settle(self, said: Settle, name: str) -> None:
         for _ in range(_SETTLE_TRIES):
             member = self.reach.members.known.get(name)
-            if member and not self.reach.is_away(member):
+            if member and not self.reach.is_unresponsive(member):
                 reply = await self.reach.ask(member, said, _SETTLE_SECONDS)
                 if reply is not None:
                     return
@@ -184,7 +184,7 @@
         return sorted(
             (members[name] for name in names if name in members),
             key=lambda member: (
-                self.reach.is_away(member),
+                self.reach.is_unresponsive(member),
                 member.domain != self.reach.domain,
                 order.index(member.name),
             ),
@@ -198,7 +198,7 @@
             member = queue.pop(0)
             # Whoever has asked one has an answer: waiting for those that are
             # out of reach would only hold it back, by a second in a cut.
-            is_late = bool(asked) and self.reach.is_away(member)
+            is_late = bool(asked) and self.reach.is_unresponsive(member)
             if member.name not in asked and not is_late:
                 return member
         queue.clear()
@@ -284,7 +284,7 @@
             for member in self.reach.members.known.values()
             if member.domain == self.reach.domain
         ]
-        return [m for m in members if not self.reach.is_away(m)]
+        return [m for m in members if not self.reach.is_unresponsive(m)]
 
     async def _compare(
         self, ask: Reserve, place: Place
--- a/libs/keeper/src/rattanmill_keeper/reach.py
+++ b/libs/keeper/src/rattanmill_keeper/reach.py
@@ -47,7 +47,7 @@
 _LEAST_RETRY_SECONDS = 0.25
 
 
-class Reach:
+class Reachability:
     """A front's links to the storage instances, and what it hears on them.
 
     Attributes:
@@ -75,7 +75,7 @@
         self.members = members
         self.metrics = metrics
         self.unheard: dict[str, float] = {}
-        self.heard: dict[str, float] = {}
+        self.answered_at: dict[str, float] = {}
         self.store_answers = True
         self.looked_at = float("-inf")
         self.asked: dict[str, float] = {}
@@ -100,7 +100,7 @@
             away_seconds: How long instead if it was silent when it was last
                 asked; one that is known to be silent mostly stays so.
         """
-        if self.is_away(member):
+        if self.is_unresponsive(member):
             return await self._ask(member, message, away_seconds or seconds)
         if self._silence([member]) > _UNHEARD_SECONDS:
             return await self._ask_unheard(member, message, seconds)
@@ -113,7 +113,7 @@
         asked = self.spawn(self._ask(member, message, seconds))
         sign = self.spawn(self._ping(member, _UNHEARD_PONG_SECONDS))
         await asyncio.wait([asked, sign], return_when=asyncio.FIRST_COMPLETED)
-        if self.is_away(member):
+        if self.is_unresponsive(member):
             asked.cancel()
             return None
         return await asked
@@ -128,10 +128,10 @@
             self.metrics.count("rattanmill_keeper_silent", kind=kind)
         else:
             self.unheard.pop(member.name, None)
-            self.heard[member.name] = loop_seconds()
+            self.answered_at[member.name] = loop_seconds()
         return reply
 
-    def is_away(self, member: Member) -> bool:
+    def is_unresponsive(self, member: Member) -> bool:
         """Whether it did not answer when it was last asked."""
         return self.unheard.get(member.name, 0.0) > loop_seconds()
 
@@ -148,10 +148,10 @@
         return (
             self._silence(self._far()) > _CUT_SECONDS
             and not self.store_answers
-            and len(self.members.domains()) > 1
+            and len(self.members.writable_domains()) > 1
         )
 
-    def moved_in(self) -> float:
+    def failover_seconds(self) -> float:
         """Returns when callers of a cut-off front get to others, seconds."""
         if self.cut_at is None:
             return _MOVED_SECONDS
@@ -165,11 +165,11 @@
         elif self.cut_at is None:
             self.cut_at = loop_seconds()
 
-    def domain_silences(self) -> dict[str, float]:
+    def domain_silence_seconds(self) -> dict[str, float]:
         """Returns for how long each domain's members were silent, seconds."""
         return {
             domain: self._silence(there)
-            for domain, there in self.members.domains().items()
+            for domain, there in self.members.writable_domains().items()
         }
 
     def spawn(self, work: Coroutine) -> asyncio.Task:
@@ -179,7 +179,7 @@
         task.add_done_callback(self.tasks.discard)
         return task
 
-    async def ping_for_ever(self) -> None:
+    async def ping_forever(self) -> None:
         """Asks members for signs of life."""
         while True:
             self.review()
@@ -219,7 +219,9 @@
 
     def _ask_first(self, members: list[Member]) -> None:
         """Asks the first of a domain, and if it is late all others."""
-        there = [member for member in members if not self.is_away(member)]
+        there = [
+            member for member in members if not self.is_unresponsive(member)
+        ]
         first = there[0] if there else members[0]
         others = [member for member in members if member is not first]
         asked_at = self.asked_domains[first.domain] = loop_seconds()
@@ -235,7 +237,7 @@
     def _ask_others(
         self, first: Member, others: list[Member], asked_at: float
     ) -> None:
-        if self.heard.get(first.name, float("-inf")) >= asked_at:
+        if self.answered_at.get(first.name, float("-inf")) >= asked_at:
             return
         for member in others:
             if not self._is_asked(member):
@@ -248,7 +250,9 @@
         is asked until it is heard.
         """
         for place, member in enumerate(members):
-            is_watched = place <= _WATCHED_OTHERS or self.is_away(member)
+            is_watched = place <= _WATCHED_OTHERS or self.is_unresponsive(
+                member
+            )
             is_quiet = self._silence([member]) > _QUIET_SECONDS
             if is_watched and is_quiet and not self._is_asked(member):
                 self._ask_for_sign(member)
@@ -258,7 +262,7 @@
         never = float("-inf")
         asked_at = self.asked.get(member.name, never)
         is_new = loop_seconds() - asked_at < _PONG_SECONDS
-        return is_new and self.heard.get(member.name, never) < asked_at
+        return is_new and self.answered_at.get(member.name, never) < asked_at
 
     def _unasked(self, members: list[Member]) -> float:
         """Returns since when a domain was not asked, in seconds."""
@@ -266,7 +270,7 @@
         asked_at = self.asked_domains.get(members[0].domain, never)
         return loop_seconds() - asked_at
 
-    def tell_crashes(self, notes: list[CrashNote]) -> None:
+    def publish_crashes(self, notes: list[CrashNote]) -> None:
         """Tells other fronts what this one has seen.
 
         They ask a few members each, every front others.
@@ -298,7 +302,7 @@
         pong = await self._ask(member, ping, seconds)
         if isinstance(pong, Pong):
             self.crashes.take(member, pong)
-            self.members.hear_of(pong.revision)
+            self.members.expect_revision(pong.revision)
 
     def _far(self) -> list[Member]:
         return [
@@ -310,6 +314,6 @@
     def _silence(self, members: Iterable[Member]) -> float:
         """Returns for how long none of them has answered, in seconds."""
         never = float("-inf")
-        heard = self.heard
+        heard = self.answered_at
         newest = max((heard.get(m.name, never) for m in members), default=never)
         return loop_seconds() - newest
--- a/libs/keeper/src/rattanmill_keeper/relayed.py
+++ b/libs/keeper/src/rattanmill_keeper/relayed.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from rattanmill_core import log_event
-from rattanmill_keeper.joint import WATCH_SECONDS, JointWait
+from rattanmill_keeper.joint import WATCH_SECONDS, JointWatch
 from rattanmill_keeper.members import Member, Members
 from rattanmill_keeper.messages import StoreItems, StoreList, StoreWatch
 from rattanmill_platform import (
@@ -60,7 +60,7 @@
         self.relayed = False
         self.turn = 0
         self.waiting: set[str] = set()
-        self.joint = JointWait(
+        self.joint = JointWatch(
             self._choose, lambda member: self.members.link(member)
         )
 
@@ -186,7 +186,7 @@
         if self.members is None:
             return None
         self.turn += 1
-        domains = self.members.domains()
+        domains = self.members.writable_domains()
         near = [self._first(domains.pop(self.domain, []))]
         far = [self._first(domains[name]) for name in sorted(domains)]
         turns = (near, far) if self.turn % 2 else (far, near)
--- a/tests/features/steps/following.py
+++ b/tests/features/steps/following.py
@@ -6,7 +6,7 @@
 
 from rattanmill_core import wall_seconds
 from rattanmill_keeper import Reserve, Reserved, following, journal
-from rattanmill_keeper.following import Following
+from rattanmill_keeper.following import Follower
 from rattanmill_keeper.messages import KeptTurn, Open, Opened
 from support.keepers import run_in as network
 
@@ -22,16 +22,16 @@
     """Lets all take in what is new at the others, once."""
     if "following" not in context:
         context.following = {
-            name: Following(keeper, n.members[name])
+            name: Follower(keeper, n.members[name])
             for name, keeper in n.keepers.items()
         }
     for name, follower in context.following.items():
-        follower.review_share()
+        follower.update_domain_peers()
         for member in list(n.members[name].known.values()):
             pages = 0
             while member.name != name and pages < _MOST_PAGES:
                 pages += 1
-                if not await follower.step(member):
+                if not await follower.fetch_page(member):
                     break
 
 
--- a/tests/features/steps/keeping.py
+++ b/tests/features/steps/keeping.py
@@ -12,7 +12,7 @@
     Spent,
     Unsure,
 )
-from rattanmill_keeper.emptying import Emptying, EmptyingOrders
+from rattanmill_keeper.emptying import Decommission, DecommissionKeys
 from rattanmill_keeper.ledger import Ledger
 from rattanmill_keeper.messages import Account, Open, Opened, Place, Settle
 from support.keepers import LocalMembers, begin
@@ -220,14 +220,14 @@
     assert isinstance(ask(context, name, "moved", "one"), Reserved)
 
     async def empty(n):
-        emptying = Emptying(
+        emptying = Decommission(
             n.keepers[name],
             n.members[name],
             None,
             n.kv,
-            EmptyingOrders("", "", b"", b""),
+            DecommissionKeys("", "", b"", b""),
         )
-        assert await emptying.hand_over()
+        assert await emptying.transfer_accounts()
         await n.kill(name)
 
     network(context, empty)
@@ -258,15 +258,15 @@
     """Whether a keeper takes the order to empty an instance for its own."""
 
     async def order(n):
-        emptying = Emptying(
+        emptying = Decommission(
             n.keepers[keeper],
             n.members[keeper],
             None,
             n.kv,
-            EmptyingOrders("orders/", "", b"", b""),
+            DecommissionKeys("orders/", "", b"", b""),
         )
         emptying.watch.on_write(f"orders/{name}", b"")
-        return emptying.ordered.is_set()
+        return emptying.requested.is_set()
 
     return network(context, order)
 
@@ -324,9 +324,9 @@
     async def lose(n):
         await n.wipe(name)
         await n.start(name)
-        assert not n.keepers[name].whole
+        assert not n.keepers[name].is_recovered
         await n.follow(name)
-        assert n.keepers[name].whole
+        assert n.keepers[name].is_recovered
 
     network(context, lose)
 
@@ -358,7 +358,7 @@
             await n.wipe(name)
         for name in lost:
             await n.start(name)
-            n.members[name].lost_disks = 2
+            n.members[name].tolerated_disk_losses = 2
         for name in [*lost, *lost]:
             await n.follow(name)
 
@@ -402,7 +402,7 @@
 
 @then('"{name}" is whole')
 def step_whole(context, name):
-    assert context.network.keepers[name].whole
+    assert context.network.keepers[name].is_recovered
 
 
 @then('the program is refused as not certain at "{name}"')
--- a/tests/features/steps/keeping_cut.py
+++ b/tests/features/steps/keeping_cut.py
@@ -71,8 +71,8 @@
     client = context.make_client()
     # Heard before the cut.
     now = asyncio.get_running_loop().time()
-    client.reach.heard = dict.fromkeys(_DOMAINS, now)
-    pings = asyncio.create_task(client.reach.ping_for_ever())
+    client.reach.answered_at = dict.fromkeys(_DOMAINS, now)
+    pings = asyncio.create_task(client.reach.ping_forever())
     await asyncio.sleep(_LONG_SECONDS)
     pings.cancel()
     return client
--- a/tests/features/steps/keeping_turns.py
+++ b/tests/features/steps/keeping_turns.py
@@ -86,7 +86,7 @@
 def step_many_two_lost(context, count):
     step_many(context, count, 3)
     for members in context.network.members.values():
-        members.lost_disks = 2
+        members.tolerated_disk_losses = 2
 
 
 def go_on(context, count):
--- a/tests/features/steps/lookups.py
+++ b/tests/features/steps/lookups.py
@@ -9,7 +9,7 @@
 
 from rattanmill_core import wall_seconds
 from rattanmill_keeper import KeptTurn, NoSuchTurn, Reserve, Unsure, members
-from rattanmill_keeper.emptying import Emptying, EmptyingOrders
+from rattanmill_keeper.emptying import Decommission, DecommissionKeys
 from support.keepers import run_in as network
 
 
@@ -112,15 +112,15 @@
 
 async def empty(n, name):
     """Empties an instance as operators' orders do, up to its last word."""
-    emptying = Emptying(
+    emptying = Decommission(
         n.keepers[name],
         n.members[name],
         None,
         n.kv,
-        EmptyingOrders("", "", b"", b""),
+        DecommissionKeys("", "", b"", b""),
     )
-    n.keepers[name].leaving = True
-    await emptying.hand_over_all()
+    n.keepers[name].is_decommissioning = True
+    await emptying.transfer_all()
 
 
 @when('"{name}" is emptied')
@@ -154,7 +154,7 @@
     front = n.front(name)
     theirs = n.members[name]
     front.reach.members.lost_at = dict(theirs.lost_at)
-    front.reach.members.emptied = set(theirs.emptied)
+    front.reach.members.decommissioned = set(theirs.decommissioned)
     return front
 
 
--- a/tests/features/steps/membership.py
+++ b/tests/features/steps/membership.py
@@ -93,7 +93,7 @@
             left = seconds
             while left > 0:
                 if context.told:
-                    members.hear_of(kv.revision)
+                    members.expect_revision(kv.revision)
                 pause = min(left, context.told or left)
                 await asyncio.sleep(pause)
                 left -= pause
@@ -133,7 +133,7 @@
     n.register(name)
     members = n.members[other]
     members.watch.revision = members.watch.changed = n.kv.revision
-    members._written(PREFIX + name, n.kv.items[PREFIX + name][0])
+    members._on_written(PREFIX + name, n.kv.items[PREFIX + name][0])
 
 
 @then(
--- a/tests/features/steps/mirror.py
+++ b/tests/features/steps/mirror.py
@@ -48,7 +48,7 @@
         self.failures = 0
         self.revisions = dict.fromkeys(_PREFIXES, 1)
 
-    async def ping_for_ever(self):
+    async def ping_forever(self):
         """Asks for signs of life, as a front does."""
         pings = set()
         while True:
@@ -192,7 +192,7 @@
     kv.direct.away = True
     kv.members = context.make()
     links = kv.members.links
-    pings = [asyncio.create_task(li.ping_for_ever()) for li in links.values()]
+    pings = [asyncio.create_task(li.ping_forever()) for li in links.values()]
     now = asyncio.get_running_loop().time
     heard = {}
     async with (
--- a/tests/features/steps/review.py
+++ b/tests/features/steps/review.py
@@ -78,7 +78,7 @@
     for name, other in itertools.product(names.split(", "), others.split(", ")):
         members = context.network.members[name]
         members.known.pop(other, None)
-        members.seen.pop(other, None)
+        members.last_seen.pop(other, None)
 
 
 @when('"{names}" are cut off from "{others}"')
@@ -207,7 +207,7 @@
         late = Members(kv)
         await late.catch_up()
         kv.asked = 0
-        early.hear_of(late.changed)
+        early.expect_revision(late.changed_revision)
         await asyncio.sleep(_PAUSE_SECONDS)
         return kv.asked
 
--- a/tests/features/steps/signs.py
+++ b/tests/features/steps/signs.py
@@ -11,7 +11,7 @@
 from rattanmill_keeper import Member, Members
 from rattanmill_keeper.crashes import CrashBoard
 from rattanmill_keeper.messages import Crashed, Done, Fetch, Ping
-from rattanmill_keeper.reach import Reach
+from rattanmill_keeper.reach import Reachability
 from support.memory import MemoryKv
 from support.virtual import run_virtually
 
@@ -83,17 +83,17 @@
         until = now() + seconds
         while now() < until:
             await asyncio.sleep(_LOOK_SECONDS)
-            for domain, silence in self.reach.domain_silences().items():
+            for domain, silence in self.reach.domain_silence_seconds().items():
                 longest = max(self.silences[domain], silence)
                 self.silences[domain] = longest
             for member in self.reach.members.known.values():
-                if self.reach.is_away(member):
+                if self.reach.is_unresponsive(member):
                     self.away.setdefault(member.name, now())
 
     async def until(self, domain, is_silent):
         """Returns once a domain has become silent, or was heard again."""
         for _ in range(1000):
-            silence = self.reach.domain_silences()[domain]
+            silence = self.reach.domain_silence_seconds()[domain]
             if (silence >= _SILENT_SECONDS) == is_silent:
                 return
             await asyncio.sleep(_LOOK_SECONDS)
@@ -116,9 +116,9 @@
     async def run():
         random.seed(seed)
         members = SignMembers(*context.shape)
-        reach = Reach("d0", members, Metrics())
-        members.key = str(seed)
-        pings = start_loop("pings", reach.ping_for_ever())
+        reach = Reachability("d0", members, Metrics())
+        members.rank_key = str(seed)
+        pings = start_loop("pings", reach.ping_forever())
         load = start_loop("load", send_for_ever(reach, context))
         await asyncio.sleep(_WARM_SECONDS + random.random())
         for link in members.links.values():
@@ -234,11 +234,11 @@
         assert said is None
         took = now() - asked_at
         await watcher.watch(10.0)
-        return took, watcher.silences, watcher.reach.is_away(member)
+        return took, watcher.silences, watcher.reach.is_unresponsive(member)
 
     found = [play(context, seed, scene) for seed in range(plays)]
     context.found = [(took, silences) for took, silences, _ in found]
-    context.are_away = [is_away for *_, is_away in found]
+    context.are_away = [is_unresponsive for *_, is_unresponsive in found]
 
 
 @then("the request has got on within {most:f} seconds")
@@ -321,9 +321,9 @@
         watcher.reach.crashes.on_notes = lambda notes: heard.set()
         others = SignMembers(*context.shape)
         others.links = members.links
-        another = Reach("d1", others, Metrics())
+        another = Reachability("d1", others, Metrics())
         told_at = now()
-        another.tell_crashes([CrashNote(b"request", "engine", 0)])
+        another.publish_crashes([CrashNote(b"request", "engine", 0)])
         async with asyncio.timeout(10.0):
             await heard.wait()
         return now() - told_at
--- a/tests/features/steps/views_keepers.py
+++ b/tests/features/steps/views_keepers.py
@@ -15,7 +15,7 @@
     Spent,
     Unsure,
 )
-from rattanmill_keeper.emptying import Emptying, EmptyingOrders
+from rattanmill_keeper.emptying import Decommission, DecommissionKeys
 from rattanmill_keeper.members import PREFIX
 from rattanmill_keeper.messages import (
     Agree,
@@ -140,7 +140,7 @@
         await n.start(name)
         members = n.members[name]
         members.known.pop(other, None)
-        members.seen.pop(other, None)
+        members.last_seen.pop(other, None)
 
     network(context, lose)
 
@@ -152,7 +152,7 @@
 
 @then('"{name}" is not whole')
 def step_not_whole(context, name):
-    assert not context.network.keepers[name].whole
+    assert not context.network.keepers[name].is_recovered
 
 
 @when("all reach each other and are listed")
@@ -348,7 +348,7 @@
         self.network = network
         self.member = network.members[name].known[name]
 
-    def change(self, member):
+    def update(self, member):
         """Shows the instance to all as it is now."""
         self.member = member
         for members in self.network.members.values():
@@ -361,19 +361,19 @@
             members._drop(self.member.name)
 
 
-_ORDERS = EmptyingOrders("orders/", "status/", b"running", b"completed")
+_ORDERS = DecommissionKeys("orders/", "status/", b"running", b"completed")
 
 
 async def empty(context, n, name):
     """Lets an instance empty itself, and the others follow it."""
-    emptying = Emptying(
+    emptying = Decommission(
         n.keepers[name],
         n.members[name],
         ListedRegistration(n, name),
         n.kv,
         _ORDERS,
     )
-    emptying.ordered.set()
+    emptying.requested.set()
     work = asyncio.create_task(emptying._run())
     context.scenario_stack.callback(work.cancel)
 
@@ -501,7 +501,7 @@
             for name in names.split(", "):
                 # A watch that is turned away goes on with what it has heard.
                 if members.name not in names.split(", "):
-                    members._removed(PREFIX + name)
+                    members._on_removed(PREFIX + name)
 
     network(context, revoke)
 
--- a/tests/support/keepers.py
+++ b/tests/support/keepers.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from rattanmill_core import Metrics
-from rattanmill_keeper import Following, Keeper, KeeperClient, Member, Members
+from rattanmill_keeper import Follower, Keeper, KeeperClient, Member, Members
 from rattanmill_keeper.members import PREFIX
 from rattanmill_keeper.messages import (
     Reserve,
@@ -132,7 +132,7 @@
         self.name = name
         self.watch.synced = True
 
-    def store_silence(self) -> float:
+    def store_silence_seconds(self) -> float:
         """The store was heard just now; its outages are the store's own."""
         return 0.0
 
@@ -216,7 +216,7 @@
         value = msgspec.json.encode(member)
         self.kv.put(PREFIX + member.name, value)
         for members in self.members.values():
-            members._written(PREFIX + member.name, value)
+            members._on_written(PREFIX + member.name, value)
 
     def lapse(self, name: str) -> None:
         """The others have not seen one's registration for long."""
@@ -227,8 +227,8 @@
             if name in members.lost_at:
                 members.lost_at[name] -= _LONG_SECONDS
         if name in self.keepers:
-            self.keepers[name].is_confirmed = lambda: False
-            self.keepers[name].stop_to_count()
+            self.keepers[name].is_lease_valid = lambda: False
+            self.keepers[name].mark_possibly_excluded()
 
     def list_again(self, name: str) -> None:
         """One whose registration had lapsed has registered again."""
@@ -238,7 +238,7 @@
         for members in self.members.values():
             members.lost_at.pop(name, None)
             self.introduce(members, name)
-        self.keepers[name].is_confirmed = lambda: True
+        self.keepers[name].is_lease_valid = lambda: True
 
     async def kill(self, name: str) -> None:
         """Ends one; what it has not synced is lost."""
@@ -268,20 +268,20 @@
     async def follow(self, name: str) -> None:
         """Lets one take in what the others have."""
         keeper = self.keepers[name]
-        following = Following(keeper, self.members[name])
+        following = Follower(keeper, self.members[name])
         # Twice: whoever is silent is known only after it was asked.
         for _ in range(2):
-            following.review_share()
+            following.update_domain_peers()
             await self._step_all(following, name)
-        if not keeper.whole and following.is_complete():
-            keeper.mark_whole()
+        if not keeper.is_recovered and following.is_complete():
+            keeper.mark_recovered()
 
-    async def _step_all(self, following: Following, name: str) -> None:
+    async def _step_all(self, following: Follower, name: str) -> None:
         for member in list(self.members[name].known.values()):
             if member.name == name:
                 continue
             for _ in range(100):
-                if not await following.step(member):
+                if not await following.fetch_page(member):
                     break
 
     def front(self, name: str) -> KeeperClient:
--- a/tests/support/opening.py
+++ b/tests/support/opening.py
@@ -195,7 +195,7 @@
     def new_members(self, name: str) -> LossyMembers:
         """Returns members whose messages may be late or lost."""
         members = LossyMembers(self, name)
-        members.lost_disks = self.lost_disks
+        members.tolerated_disk_losses = self.lost_disks
         return members
 
     def new_disk(self) -> concurrent.futures.Executor:
--- a/tests/support/stories.py
+++ b/tests/support/stories.py
@@ -121,7 +121,7 @@
         """One loses its disk; as many as may be lost at once."""
         keepers = self.network.keepers
         all_run = len(keepers) == len(self.network.names)
-        all_whole = all(k.whole for k in keepers.values())
+        all_whole = all(k.is_recovered for k in keepers.values())
         if name in keepers and all_run and all_whole:
             await self.network.wipe(name)
             await self.network.start(name)
@@ -131,7 +131,7 @@
         network = self.network
         if len(network.names) > len(NAMES) or name not in network.keepers:
             return
-        if not all(k.whole for k in network.keepers.values()):
+        if not all(k.is_recovered for k in network.keepers.values()):
             return
         if len(network.keepers) < len(network.names):
             return
