--- a/libs/forward/src/rattanmill_forward/daemon.py
+++ b/libs/forward/src/rattanmill_forward/daemon.py
@@ -162,7 +162,7 @@
     guard = CrashGuard(registry, pool, keepers, metrics)
     domains = DomainMonitor(
         settings.domain,
-        keepers.reach.domain_silences,
+        keepers.reach.domain_silence_seconds,
         lambda domain: _can_reach(domain, registry, pool),
     )
     domains.on_unreachable = pool.abort_domain
@@ -180,7 +180,7 @@
         stack.callback(pool.close)
         sweep = start_loop("sweep of connections", _close_expired(pool))
         stack.callback(sweep.cancel)
-        pings = start_loop("pings", keepers.reach.ping_for_ever())
+        pings = start_loop("pings", keepers.reach.ping_forever())
         stack.callback(pings.cancel)
         domain_checks = start_loop("failure domains", domains.run())
         stack.callback(domain_checks.cancel)
--- a/libs/forward/src/rattanmill_forward/turns.py
+++ b/libs/forward/src/rattanmill_forward/turns.py
@@ -79,7 +79,7 @@
                 Reason.TURN_UNSURE,
                 "failure domain is partitioned: later turns could not be read"
                 " elsewhere",
-                retry_after=self.keepers.reach.moved_in(),
+                retry_after=self.keepers.reach.failover_seconds(),
             )
         try:
             history, reservation = await asyncio.gather(
@@ -163,7 +163,7 @@
                 reach = self.keepers.reach
                 seconds = _UNAVAILABLE_RETRY_SECONDS
                 if reach.is_cut_off():
-                    seconds = reach.moved_in()
+                    seconds = reach.failover_seconds()
                 return refuse(
                     Reason.BUDGET_UNRESERVED, why, retry_after=seconds
                 )
