--- a/bench/storing.py
+++ b/bench/storing.py
@@ -220,11 +220,11 @@
     ) -> bool:
         keepers = front.keepers
         if phase.keeps and previous:
-            found = await keepers.lookup.find(previous, program)
+            found = await keepers.turns.find(previous, program)
             if not isinstance(found, list):
                 return False
         ask = Reserve(program, turn, _TOKENS, _BUDGET)
-        if not isinstance(await keepers.permits.reserve(ask), Reserved):
+        if not isinstance(await keepers.budgets.reserve(ask), Reserved):
             return False
         await asyncio.sleep(_TURN_SECONDS)
         is_kept = True
@@ -232,8 +232,8 @@
             expires = wall_seconds() + _RETENTION_SECONDS
             text = os.urandom(_TURN_BYTES)
             kept = KeptTurn(turn, previous, text, expires, program)
-            is_kept = (await keepers.lookup.keep(kept)).enough
-        keepers.permits.settle_later(program, turn, _TOKENS // 2)
+            is_kept = (await keepers.turns.keep(kept)).is_replicated
+        keepers.budgets.settle_later(program, turn, _TOKENS // 2)
         return is_kept
 
 
--- a/libs/forward/src/rattanmill_forward/turns.py
+++ b/libs/forward/src/rattanmill_forward/turns.py
@@ -16,7 +16,7 @@
 from rattanmill_forward.routes import Route, Service
 from rattanmill_keeper import (
     KeeperClient,
-    KeptBy,
+    KeepResult,
     KeptTurn,
     NoSuchTurn,
     Reserve,
@@ -87,7 +87,7 @@
         except asyncio.CancelledError:
             # The caller left. The permission may have been given already.
             if call.program and call.budget is not None:
-                self.keepers.permits.settle_later(call.program, call.request, 0)
+                self.keepers.budgets.settle_later(call.program, call.request, 0)
             raise
         refusal = next(
             (x for x in (permission, history) if isinstance(x, Refusal)), None
@@ -95,7 +95,7 @@
         if refusal is None:
             return Turn(history.body, permission, history.chain)
         if isinstance(permission, int) and permission:
-            self.keepers.permits.settle_later(call.program, call.request, 0)
+            self.keepers.budgets.settle_later(call.program, call.request, 0)
         return refusal
 
     def _would_strand(self, call: Call, route: Route) -> bool:
@@ -114,7 +114,7 @@
     async def _history(self, call: Call, route: Route) -> History | Refusal:
         if not (route.keeps_turns and call.previous):
             return History(call.body, call.program)
-        found = await self.keepers.lookup.find(call.previous, call.program)
+        found = await self.keepers.turns.find(call.previous, call.program)
         match found:
             case NoSuchTurn():
                 return refuse(Reason.UNKNOWN_TURN, "no such turn")
@@ -127,7 +127,7 @@
         if not call.program or call.budget is None:
             return 0
         tokens = call.output_tokens
-        reply = await self.keepers.permits.reserve(
+        reply = await self.keepers.budgets.reserve(
             Reserve(call.program, call.request, tokens, call.budget)
         )
         outcome = type(reply).__name__.lower()
@@ -138,8 +138,8 @@
             tokens=tokens,
             budget=call.budget,
             outcome=outcome,
-            holders=self.keepers.permits.holders_of(call.program),
-            alone=call.request in self.keepers.permits.alone,
+            holders=self.keepers.budgets.holders_of(call.program),
+            alone=call.request in self.keepers.budgets.granted_alone_by,
             taken=getattr(reply, "taken", None),
             settled=getattr(reply, "settled", None),
             why=getattr(reply, "why", None),
@@ -169,9 +169,9 @@
         used = turn.reserved
         if service.engine:
             used = turn.passed * service.engine.tokens_per_event
-        self.keepers.permits.settle_later(call.program, call.request, used)
+        self.keepers.budgets.settle_later(call.program, call.request, used)
 
-    async def keep(self, call: Call, route: Route, turn: Turn) -> KeptBy:
+    async def keep(self, call: Call, route: Route, turn: Turn) -> KeepResult:
         """Keeps a finished turn for those that continue it."""
         text = b"".join([call.body, *(data + b"\n" for data in turn.events)])
         kept = KeptTurn(
@@ -181,7 +181,7 @@
             wall_seconds() + route.retention_seconds,
             turn.chain,
         )
-        kept_by = await self.keepers.lookup.keep(kept)
+        kept_by = await self.keepers.turns.keep(kept)
         log_event(
             "turn_kept",
             request=call.request,
@@ -190,6 +190,6 @@
             bytes=len(text),
             domains=kept_by.domains,
             keepers=kept_by.keepers,
-            enough=kept_by.enough,
+            enough=kept_by.is_replicated,
         )
         return kept_by
--- a/libs/keeper/src/rattanmill_keeper/__init__.py
+++ b/libs/keeper/src/rattanmill_keeper/__init__.py
@@ -5,7 +5,7 @@
 from rattanmill_keeper.emptying import EmptyingOrders
 from rattanmill_keeper.following import Following
 from rattanmill_keeper.keeper import Keeper
-from rattanmill_keeper.lookup import KeptBy, NoSuchTurn
+from rattanmill_keeper.lookup import KeepResult, NoSuchTurn
 from rattanmill_keeper.members import Member, Members, Registration
 from rattanmill_keeper.messages import (
     KeptTurn,
@@ -21,9 +21,9 @@
 __all__ = [
     "EmptyingOrders",
     "Following",
+    "KeepResult",
     "Keeper",
     "KeeperClient",
-    "KeptBy",
     "KeptTurn",
     "Member",
     "Members",
--- a/libs/keeper/src/rattanmill_keeper/client.py
+++ b/libs/keeper/src/rattanmill_keeper/client.py
@@ -1,9 +1,9 @@
 """A front's way to the storage instances."""
 
 from rattanmill_core import Metrics
-from rattanmill_keeper.lookup import Lookup
+from rattanmill_keeper.lookup import TurnClient
 from rattanmill_keeper.members import Members
-from rattanmill_keeper.permits import Permits
+from rattanmill_keeper.permits import BudgetClient
 from rattanmill_keeper.reach import Reach
 
 
@@ -12,8 +12,8 @@
 
     Attributes:
         reach: The links to them, and what was heard on these.
-        permits: Budgets.
-        lookup: Kept turns.
+        budgets: Reserves and settles budgets.
+        turns: Keeps and finds turns.
 
     Args:
         domain: Failure domain of this front.
@@ -26,5 +26,5 @@
         self, domain: str, copies: int, members: Members, metrics: Metrics
     ) -> None:
         self.reach = Reach(domain, members, metrics)
-        self.permits = Permits(self.reach)
-        self.lookup = Lookup(self.reach, copies)
+        self.budgets = BudgetClient(self.reach)
+        self.turns = TurnClient(self.reach, copies)
--- a/libs/keeper/src/rattanmill_keeper/crashes.py
+++ b/libs/keeper/src/rattanmill_keeper/crashes.py
@@ -17,7 +17,7 @@
 _MOST_NOTES = 1_000
 
 
-class CrashBoard:
+class CrashLog:
     """What a storage instance was told, in order.
 
     Args:
@@ -44,7 +44,7 @@
         return Pong(self.run, self.position, news)
 
 
-class CrashNews:
+class CrashFeed:
     """What a front has heard from each storage instance.
 
     Attributes:
@@ -53,15 +53,15 @@
 
     def __init__(self) -> None:
         self.on_notes: Callable[[list[CrashNote]], None] = lambda notes: None
-        self.heard: dict[str, Pong] = {}
+        self.last_pongs: dict[str, Pong] = {}
 
     def ping(self, member: Member) -> Ping:
         """Returns the next question to a storage instance."""
-        last = self.heard.get(member.name)
+        last = self.last_pongs.get(member.name)
         return Ping(last.run, last.position) if last else Ping()
 
-    def take(self, member: Member, pong: Pong) -> None:
+    def receive(self, member: Member, pong: Pong) -> None:
         """Takes an answer."""
-        self.heard[member.name] = Pong(pong.run, pong.position, [])
+        self.last_pongs[member.name] = Pong(pong.run, pong.position, [])
         if pong.notes:
             self.on_notes(pong.notes)
--- a/libs/keeper/src/rattanmill_keeper/emptying.py
+++ b/libs/keeper/src/rattanmill_keeper/emptying.py
@@ -222,7 +222,7 @@
         reply = await link.ask(Lacking(turns), _ASK_SECONDS)
         if not isinstance(reply, Lacking):
             return False
-        for turn in self.keeper.table.pick(reply.turns):
+        for turn in self.keeper.table.get_many(reply.turns):
             if not isinstance(await link.ask(Keep(turn), _ASK_SECONDS), Done):
                 return False
         return True
--- a/libs/keeper/src/rattanmill_keeper/following.py
+++ b/libs/keeper/src/rattanmill_keeper/following.py
@@ -164,7 +164,7 @@
         changes = [
             change
             for home in news.homes
-            if (change := self.keeper.ledger.learn(home))
+            if (change := self.keeper.ledger.add_home(home))
         ]
         # At once, so that they share the journal's writes.
         await asyncio.gather(*map(self.keeper.write_home, changes))
@@ -191,7 +191,7 @@
     ) -> bool:
         """Fetches the accounts that differ here; False if that failed."""
         ledger = self.keeper.ledger
-        programs = [ref.program for ref in refs if not ledger.knows(ref)]
+        programs = [ref.program for ref in refs if not ledger.is_current(ref)]
         if not programs:
             return True
         link = self.members.link(member)
@@ -208,7 +208,7 @@
             for ref in turns
             if _keeper_of(ref.key, self.sharing) == self.keeper.name
         ]
-        lacking = self.keeper.table.lacking(mine)
+        lacking = self.keeper.table.missing(mine)
         link = self.members.link(member)
         for start in range(0, len(lacking), _FETCH_TURNS):
             page = lacking[start : start + _FETCH_TURNS]
--- a/libs/keeper/src/rattanmill_keeper/homes.py
+++ b/libs/keeper/src/rattanmill_keeper/homes.py
@@ -50,10 +50,10 @@
     """
 
     missing: frozenset[str] = frozenset()
-    having: frozenset[str] = frozenset()
+    with_share: frozenset[str] = frozenset()
 
 
-class Contested(msgspec.Struct, frozen=True):
+class NeedsArbitration(msgspec.Struct, frozen=True):
     """The store must decide, and may: nobody gets all others' consent.
 
     Attributes:
@@ -65,7 +65,7 @@
     is_divided: bool
 
 
-class Next(enum.Enum):
+class OpenDecision(enum.Enum):
     """What follows from the consents that were given."""
 
     OPEN = enum.auto()
@@ -73,7 +73,9 @@
     GIVE_UP = enum.auto()
 
 
-def judge(roster: int, agreed: int, refused: int, lost_disks: int) -> Next:
+def evaluate_consents(
+    roster: int, agreed: int, refused: int, lost_disks: int
+) -> OpenDecision:
     """Decides what consents are enough for.
 
     Args:
@@ -85,18 +87,18 @@
     """
     consents = agreed + 1
     if not refused and consents >= max(_LEAST_CONSENTS, roster - 1):
-        return Next.OPEN
+        return OpenDecision.OPEN
     if agreed >= min(max(lost_disks, 1), roster - 1):
-        return Next.ASK_STORE
-    return Next.GIVE_UP
+        return OpenDecision.ASK_STORE
+    return OpenDecision.GIVE_UP
 
 
-async def may_open(
+async def request_consent(
     program: str,
     holders: tuple[str, ...],
     ledger: Ledger,
     members: Members,
-) -> Consent | Contested | Elsewhere | Unsure | CutOff:
+) -> Consent | NeedsArbitration | Elsewhere | Unsure | CutOff:
     """Finds out whether a program's account may be opened at these holders.
 
     Args:
@@ -122,15 +124,19 @@
         return Unsure("another instance is opening the account")
     consent = _consent(replies, ask, ledger)
     agreed = len(roster - consent.missing) - 1
-    verdict = judge(len(roster), agreed, len(refused), members.lost_disks)
-    if verdict is Next.OPEN:
+    verdict = evaluate_consents(
+        len(roster), agreed, len(refused), members.lost_disks
+    )
+    if verdict is OpenDecision.OPEN:
         return consent
-    if verdict is Next.ASK_STORE and _are_closed(refused, replies, ledger):
-        return Contested(consent, bool(refused))
+    if verdict is OpenDecision.ASK_STORE and _are_closed(
+        refused, replies, ledger
+    ):
+        return NeedsArbitration(consent, bool(refused))
     if not refused:
         return CutOff()
     refused.sort(key=lambda reply: not reply.is_open)
-    ledger.learn(Home(program, refused[0].holders))
+    ledger.add_home(Home(program, refused[0].holders))
     return Elsewhere(refused[0].holders)
 
 
@@ -152,9 +158,9 @@
     )
 
 
-async def decide(
+async def arbitrate(
     home: Home,
-    contested: Contested,
+    contested: NeedsArbitration,
     ledger: Ledger,
     members: Members,
     kv: KeyValue,
--- a/libs/keeper/src/rattanmill_keeper/journal.py
+++ b/libs/keeper/src/rattanmill_keeper/journal.py
@@ -32,7 +32,7 @@
 _SUFFIX = ".journal"
 
 
-class Stored(msgspec.Struct, frozen=True):
+class StoredRecord(msgspec.Struct, frozen=True):
     """A record read back, and the segment in which it lies."""
 
     segment: int
@@ -46,7 +46,7 @@
     future: asyncio.Future | None
 
 
-def frame(data: bytes) -> bytes:
+def encode_frame(data: bytes) -> bytes:
     """Returns a record as it is written."""
     return _HEADER.pack(len(data), _checksum(data)) + data
 
@@ -55,7 +55,7 @@
     return zlib.crc32(data, _CHECKSUM_START)
 
 
-def read_frames(content: bytes) -> Iterator[bytes]:
+def decode_frames(content: bytes) -> Iterator[bytes]:
     """Yields the records of a segment up to its first bad frame."""
     at = 0
     while at + _HEADER.size <= len(content):
@@ -91,21 +91,21 @@
         self.segment = 0
         self.written = 0
         self.synced_bytes = 0
-        self.waiting: list[_Waiting] = []
+        self.pending: list[_Waiting] = []
         self.wake = asyncio.Event()
         self.file = -1
         self.task: asyncio.Task | None = None
         # One thread: writes stay in order, and the loop never waits for disk.
-        self.thread = concurrent.futures.ThreadPoolExecutor(1)
+        self.executor = concurrent.futures.ThreadPoolExecutor(1)
 
-    def read(self) -> Iterator[Stored]:
+    def read(self) -> Iterator[StoredRecord]:
         """Yields all records of earlier runs, oldest first."""
         for number in self.segments():
             content = self._path(number).read_bytes()
             good = 0
-            for data in read_frames(content):
+            for data in decode_frames(content):
                 good += _HEADER.size + len(data)
-                yield Stored(number, data)
+                yield StoredRecord(number, data)
             if good < len(content):
                 warn_event(
                     "journal_tail_bad",
@@ -136,21 +136,21 @@
     async def __aexit__(self, *exc_info: object) -> None:
         if self.task:
             self.task.cancel()
-        self.thread.shutdown(wait=True)
+        self.executor.shutdown(wait=True)
         os.close(self.file)
 
     async def append(self, data: bytes) -> int:
         """Writes a record; returns its segment when it is on disk."""
         future = asyncio.get_running_loop().create_future()
-        self.waiting.append(_Waiting(frame(data), future))
+        self.pending.append(_Waiting(encode_frame(data), future))
         self.wake.set()
         return await future
 
-    def note(self, data: bytes) -> None:
+    def append_nowait(self, data: bytes) -> None:
         """Writes a record whose loss only costs certainty, with the next."""
-        self.waiting.append(_Waiting(frame(data), None))
+        self.pending.append(_Waiting(encode_frame(data), None))
 
-    def drop(self, number: int) -> None:
+    def drop_segment(self, number: int) -> None:
         """Removes a segment that nobody needs any more."""
         self._path(number).unlink(missing_ok=True)
         log_event("journal_segment_dropped", segment=number)
@@ -163,8 +163,8 @@
         self.file = os.open(path, flags, 0o600)
         self.written = 0
         # Behind what waits: the snapshot is younger, and the last word counts.
-        self.waiting += [
-            _Waiting(frame(data), None) for data in self.snapshot()
+        self.pending += [
+            _Waiting(encode_frame(data), None) for data in self.snapshot()
         ]
         self.wake.set()
 
@@ -176,13 +176,13 @@
         while True:
             await self.wake.wait()
             self.wake.clear()
-            group, self.waiting = self.waiting, []
+            group, self.pending = self.pending, []
             if not group:
                 continue
             segment = self.segment
             data = b"".join(waiting.frame for waiting in group)
             self.written += len(data)
-            await loop.run_in_executor(self.thread, _sync, self.file, data)
+            await loop.run_in_executor(self.executor, _sync, self.file, data)
             self.synced_bytes += len(data)
             if self.written >= _SEGMENT_BYTES:
                 os.close(self.file)
--- a/libs/keeper/src/rattanmill_keeper/keeper.py
+++ b/libs/keeper/src/rattanmill_keeper/keeper.py
@@ -14,22 +14,27 @@
     start_loop,
     wall_seconds,
 )
-from rattanmill_keeper.crashes import CrashBoard
-from rattanmill_keeper.homes import Consent, Contested, decide, may_open
+from rattanmill_keeper.crashes import CrashLog
+from rattanmill_keeper.homes import (
+    Consent,
+    NeedsArbitration,
+    arbitrate,
+    request_consent,
+)
 from rattanmill_keeper.journal import Journal
 from rattanmill_keeper.ledger import (
-    FORGET_SECONDS,
+    ACCOUNT_TTL_SECONDS,
     AccountChange,
     HomeChange,
     Ledger,
-    Opening,
-    Recording,
+    OpenRequired,
+    PendingRecord,
     RosterChange,
     ShareChange,
 )
 from rattanmill_keeper.members import Members
 from rattanmill_keeper.messages import (
-    MOST_SHARING,
+    MAX_SHARERS,
     Account,
     AccountRef,
     Accounts,
@@ -70,18 +75,18 @@
     TurnRef,
     Turns,
     Unsure,
-    most_alone,
+    max_share,
 )
 from rattanmill_keeper.mirror import Mirrors
 from rattanmill_keeper.records import (
-    Mark,
+    CompletionMarker,
     Record,
     decode,
     encode,
-    read_mark,
-    write_mark,
+    read_marker,
+    write_marker,
 )
-from rattanmill_keeper.turns import HomeOf, Intake, TurnTable
+from rattanmill_keeper.turns import ChangeLog, HomeEntry, TurnTable
 from rattanmill_platform import KeyValue
 
 _PAGE = 500
@@ -136,11 +141,11 @@
         self.metrics = metrics
         self.ledger = Ledger(name)
         self.table = TurnTable()
-        self.intake = Intake()
+        self.intake = ChangeLog()
         self.mirrors = Mirrors(kv)
         self.journal = Journal(folder / _FOLDER, self._snapshot)
         self.run = uuid.uuid4().hex[:12]
-        self.crashes = CrashBoard(self.run)
+        self.crashes = CrashLog(self.run)
         self.first_start = first_start
         self.whole = first_start
         # A disk that is new or was lost may have held what was granted alone.
@@ -151,7 +156,7 @@
         self.level_at: dict[str, float] = {}
         self.leaving = False
         self.is_closed = False
-        self.may_open = may_open
+        self.may_open = request_consent
         self.noted: set[str] = set()
         self.sweeper: asyncio.Task | None = None
 
@@ -177,9 +182,9 @@
         """Says, also on disk, that nothing is missing here."""
         if not self.whole:
             log_event("keeper_whole", turns=len(self.table.held))
-            self.alone_from = wall_seconds() + FORGET_SECONDS
+            self.alone_from = wall_seconds() + ACCOUNT_TTL_SECONDS
         self.whole = True
-        write_mark(self.folder, Mark(self.alone_from))
+        write_marker(self.folder, CompletionMarker(self.alone_from))
 
     async def serve(self, message: msgspec.Struct) -> msgspec.Struct:
         """Returns the answer to one request."""
@@ -208,11 +213,11 @@
             case Fetch(turn=turn):
                 return self.fetch(turn)
             case FetchAccounts(programs=programs):
-                return Accounts(self.ledger.pick(programs))
+                return Accounts(self.ledger.get_many(programs))
             case FetchTurns(turns=turns):
-                return Turns(self.table.pick(turns))
+                return Turns(self.table.get_many(turns))
             case Lacking(turns=turns):
-                return Lacking(self.table.lacking(turns))
+                return Lacking(self.table.missing(turns))
             case Follow():
                 return self._news(message)
             case Merge(accounts=accounts):
@@ -238,13 +243,13 @@
             return await self._reserve_alone(ask)
         if not self.whole:
             return Unsure("not whole yet")
-        decision = self.ledger.record(ask)
-        if not isinstance(decision, Recording):
+        decision = self.ledger.reserve(ask)
+        if not isinstance(decision, PendingRecord):
             return decision
         self.intake.add(ask.program)
         if decision.account is not None:
-            self.intake.add(HomeOf(ask.program))
-            self.journal.note(encode(decision.account))
+            self.intake.add(HomeEntry(ask.program))
+            self.journal.append_nowait(encode(decision.account))
         await self._append(decision.change)
         return decision.reply
 
@@ -252,7 +257,7 @@
         may_begin = self.may_begin_share() and self.members.are_silent(
             self.name
         )
-        decision = self.ledger.record_alone(ask, may_begin)
+        decision = self.ledger.reserve_alone(ask, may_begin)
         if not isinstance(decision, ShareChange):
             return decision
         self.intake.add(ask.program)
@@ -273,7 +278,7 @@
             and wall_seconds() > self.alone_from
             and self.is_confirmed()
             and not self.unheard & roster
-            and len(roster | {self.name}) <= MOST_SHARING
+            and len(roster | {self.name}) <= MAX_SHARERS
         )
 
     def stop_to_count(self) -> None:
@@ -297,7 +302,7 @@
         changes = [
             change
             for program in self.ledger.accounts
-            for change in self.ledger.leave_share(program)
+            for change in self.ledger.release_share(program)
         ]
         await asyncio.gather(*map(self._append, changes))
 
@@ -316,7 +321,7 @@
         for change in changes:
             self.intake.add(change.account.program)
             # It may say other holders than were known here.
-            self.intake.add(HomeOf(change.account.program))
+            self.intake.add(HomeEntry(change.account.program))
         return changes
 
     def fetch(self, turn: str) -> Chain:
@@ -330,13 +335,13 @@
     def settle(self, said: Settle) -> Done:
         """Books what a turn has used."""
         for change in self.ledger.settle(said):
-            self.journal.note(encode(change))
+            self.journal.append_nowait(encode(change))
         return Done()
 
     async def open(self, ask: Open) -> Opened | Elsewhere | Unsure | CutOff:
         """Returns where an account is, and opens it if it has none."""
         found = self.ledger.find(ask.program)
-        if not isinstance(found, Opening):
+        if not isinstance(found, OpenRequired):
             return found
         if not self.whole:
             return Unsure("not whole yet")
@@ -366,7 +371,7 @@
             self.may_open(program, holders, self.ledger, self.members),
             self._append(home),
         )
-        if isinstance(found, Contested):
+        if isinstance(found, NeedsArbitration):
             found = await self._decide(home.home, found)
         if not isinstance(found, Consent):
             return found
@@ -377,27 +382,29 @@
         if change is None:
             return self.ledger.find(program)
         self.ledger.homes[program] = home
-        self.journal.note(encode(change))
+        self.journal.append_nowait(encode(change))
         if place.sharers == (self.name,):
-            self.journal.note(encode(self.ledger.begin_share(program)))
+            self.journal.append_nowait(encode(self.ledger.open_share(program)))
         self.intake.add(program)
-        self.intake.add(HomeOf(program))
+        self.intake.add(HomeEntry(program))
         return Opened(place)
 
     async def _decide(
-        self, home: Home, contested: Contested
+        self, home: Home, contested: NeedsArbitration
     ) -> Consent | Elsewhere | Unsure:
         """Lets the store decide; this instance's consent is on disk."""
-        if self.ledger.learn(home):
-            self.intake.add(HomeOf(home.program))
+        if self.ledger.add_home(home):
+            self.intake.add(HomeEntry(home.program))
         known = self.ledger.holders_of(home.program)
         if known != home.holders:
             return Elsewhere(known)
-        found = await decide(
+        found = await arbitrate(
             home, contested, self.ledger, self.members, self.kv
         )
         if isinstance(found, Elsewhere):
-            adopted = self.ledger.adopt(Home(home.program, found.holders))
+            adopted = self.ledger.override_home(
+                Home(home.program, found.holders)
+            )
             if adopted:
                 await self.write_home(adopted)
         return found
@@ -410,12 +417,14 @@
         is_old: bool,
     ) -> Place:
         """Finds out for whom a part of the budget has to be reserved."""
-        sharers = consent.having | consent.missing
+        sharers = consent.with_share | consent.missing
         if not sharers and not is_old and self.may_begin_share():
             sharers = frozenset([self.name])
         # What callers allow beyond the budget is one turn, for all together.
-        granting = len(consent.having) + min(len(sharers - consent.having), 1)
-        most = granting * most_alone(ask.budget, ask.tokens)
+        granting = len(consent.with_share) + min(
+            len(sharers - consent.with_share), 1
+        )
+        most = granting * max_share(ask.budget, ask.tokens)
         reserved = max(0, most - ask.tokens)
         return Place(holders, tuple(sorted(sharers)), reserved)
 
@@ -439,7 +448,7 @@
 
     async def write_home(self, change: HomeChange) -> None:
         """Writes down where an account is, for the journal and followers."""
-        self.intake.add(HomeOf(change.home.program))
+        self.intake.add(HomeEntry(change.home.program))
         await self._append(change)
 
     async def _append(self, record: Record) -> int:
@@ -469,7 +478,7 @@
         turns: list[TurnRef] = []
         # In one pass: each of the others asks for all of it.
         for _, entry in entries:
-            if isinstance(entry, HomeOf):
+            if isinstance(entry, HomeEntry):
                 if holders := self.ledger.holders_of(entry.program):
                     homes.append(Home(entry.program, holders))
                 continue
@@ -518,7 +527,7 @@
         await asyncio.gather(*map(self._append, self.merge(accounts)))
 
     def _restore(self) -> None:
-        mark = read_mark(self.folder)
+        mark = read_marker(self.folder)
         if mark is not None:
             self.whole = True
             self.alone_from = mark.alone_from
@@ -535,7 +544,7 @@
         for entry in [*self.table.held, *self.ledger.accounts]:
             self.intake.add(entry)
         for program in {**self.ledger.homes, **self.ledger.accounts}:
-            self.intake.add(HomeOf(program))
+            self.intake.add(HomeEntry(program))
         log_event(
             "journal_read",
             records=records,
@@ -561,7 +570,7 @@
         names = self.members.roster()
         if names != self.noted:
             self.noted = names
-            self.journal.note(encode(self._roster()))
+            self.journal.append_nowait(encode(self._roster()))
             self.journal.wake.set()
 
     async def _sweep_for_ever(self) -> None:
@@ -573,9 +582,9 @@
         """Drops what is over, in memory and on disk."""
         for turn in self.table.expire():
             self.intake.remove(turn)
-        for program in self.ledger.forget_old():
+        for program in self.ledger.expire():
             self.intake.remove(program)
-            self.intake.remove(HomeOf(program))
+            self.intake.remove(HomeEntry(program))
         self._drop_segments()
         self._note_roster()
 
@@ -589,4 +598,4 @@
         # The newest two stay: the snapshot of the newest may not be synced.
         for number in numbers[:-2]:
             if number not in needed:
-                self.journal.drop(number)
+                self.journal.drop_segment(number)
--- a/libs/keeper/src/rattanmill_keeper/ledger.py
+++ b/libs/keeper/src/rattanmill_keeper/ledger.py
@@ -26,12 +26,12 @@
     Share,
     Unsure,
     Use,
-    most_alone,
+    max_share,
 )
 
 # A program whose account was not used for so long has ended. The longest
 # retention of a turn that operators ask for is far below.
-FORGET_SECONDS = 3600.0
+ACCOUNT_TTL_SECONDS = 3600.0
 
 
 class AccountChange(msgspec.Struct, frozen=True, tag="account"):
@@ -68,7 +68,7 @@
     seen: dict[str, float]
 
 
-class Opening(msgspec.Struct, frozen=True):
+class OpenRequired(msgspec.Struct, frozen=True):
     """The account must be opened first, with the others' consent.
 
     Attributes:
@@ -78,7 +78,7 @@
     holders: tuple[str, ...] = ()
 
 
-class Recording(msgspec.Struct, frozen=True):
+class PendingRecord(msgspec.Struct, frozen=True):
     """A use that counts once it is on disk, and the reply to give then.
 
     Attributes:
@@ -113,20 +113,20 @@
         self.homes: dict[str, HomeChange] = {}
         self.opening: set[str] = set()
 
-    def find(self, program: str) -> Opened | Elsewhere | Opening:
+    def find(self, program: str) -> Opened | Elsewhere | OpenRequired:
         """Returns where an account is, or that it must be opened here."""
         account = self.accounts.get(program)
         if account is not None:
             return Opened(account.place)
         known = self.homes.get(program)
         if known is None:
-            return Opening()
+            return OpenRequired()
         holders = known.home.holders
         if self.name in holders:
-            return Opening(holders)
+            return OpenRequired(holders)
         return Elsewhere(holders)
 
-    def record(self, ask: Reserve) -> Recording | Full | Unsure:
+    def reserve(self, ask: Reserve) -> PendingRecord | Full | Unsure:
         """Decides on a reservation; a change must be on disk to count.
 
         An attempt that asks again, because the reply was lost, has its
@@ -150,14 +150,14 @@
             return Unsure("the attempt has ended")
         if use is not None:
             again = UseChange(ask.program, ask.attempt, use)
-            return Recording(adopted, again, self._recorded(account))
+            return PendingRecord(adopted, again, self._recorded(account))
         if account.taken + ask.tokens > account.limit:
             return Full()
         change = self._use(account, ask.attempt, Use(ask.tokens))
-        return Recording(adopted, change, self._recorded(account))
+        return PendingRecord(adopted, change, self._recorded(account))
 
-    def record_alone(
-        self, ask: Reserve, may_begin: bool
+    def reserve_alone(
+        self, ask: Reserve, may_open_share: bool
     ) -> ShareChange | Full | Unsure:
         """Grants out of the part that one domain may grant alone.
 
@@ -166,18 +166,18 @@
 
         Args:
             ask: What is asked for.
-            may_begin: Whether this instance knows what it granted before, and
-                may begin a share for a program that it has not heard of.
+            may_open_share: Whether this instance knows what it granted before,
+                and may begin a share for a program that it has not heard of.
         """
         share = self.shares.get(ask.program)
         if share is None:
             is_known = ask.program in self.homes or ask.program in self.accounts
-            if is_known or not may_begin:
+            if is_known or not may_open_share:
                 return Unsure("nothing of the budget is set aside here")
             share = self.shares[ask.program] = Share()
         if ask.attempt not in share.uses:
             taken = share.taken + ask.tokens
-            if share.is_closed or taken > most_alone(ask.budget, ask.tokens):
+            if share.is_closed or taken > max_share(ask.budget, ask.tokens):
                 return Full()
             share.uses[ask.attempt] = Use(ask.tokens)
         return self._share_changed(ask.program)
@@ -188,7 +188,7 @@
         share.is_closed = True
         return self._share_changed(program)
 
-    def leave_share(self, program: str) -> list[ShareChange | AccountChange]:
+    def release_share(self, program: str) -> list[ShareChange | AccountChange]:
         """Ends what this instance alone may grant, and gives the rest back."""
         account = self.accounts[program]
         if account.place.sharers != (self.name,):
@@ -225,11 +225,11 @@
         program = account.program
         return AccountRef(program, self.digests[program], account.limit)
 
-    def pick(self, programs: list[str]) -> list[Account]:
+    def get_many(self, programs: list[str]) -> list[Account]:
         """Returns the accounts of those programs that are held here."""
         return [self.accounts[p] for p in programs if p in self.accounts]
 
-    def knows(self, ref: AccountRef) -> bool:
+    def is_current(self, ref: AccountRef) -> bool:
         """Whether an account that another holder has is no news here."""
         account = self.accounts.get(ref.program)
         return (
@@ -247,16 +247,16 @@
         """
         program, holders = ask.program, ask.holders
         if ask.is_decided:
-            self.adopt(Home(program, holders))
+            self.override_home(Home(program, holders))
         known = self.holders_of(program)
         if known and known != holders:
             return Refused(known, program in self.accounts)
         if not known and program in self.opening and self.name < ask.keeper:
             return Refused(())
         home = Home(program, holders)
-        return self.learn(home) or HomeChange(home, wall_seconds())
+        return self.add_home(home) or HomeChange(home, wall_seconds())
 
-    def adopt(self, home: Home) -> HomeChange | None:
+    def override_home(self, home: Home) -> HomeChange | None:
         """Takes the holders that the store says, whatever was agreed to.
 
         None if the account is open with others, which the store would know.
@@ -264,7 +264,7 @@
         if home.program in self.accounts:
             return None
         self.homes.pop(home.program, None)
-        return self.learn(home)
+        return self.add_home(home)
 
     def open(self, account: Account) -> AccountChange | None:
         """Opens an account here, unless other holders became known."""
@@ -275,7 +275,7 @@
             self._hold(account)
         return self._changed(self.accounts[account.program])
 
-    def begin_share(self, program: str) -> ShareChange:
+    def open_share(self, program: str) -> ShareChange:
         """Lets this instance grant alone: all have agreed to the account.
 
         Only for an account that nobody had heard of before; one that has lost
@@ -295,7 +295,7 @@
         self._hold(joined)
         return self._changed(joined)
 
-    def learn(self, home: Home) -> HomeChange | None:
+    def add_home(self, home: Home) -> HomeChange | None:
         """Writes down where an account is; None if that is no news."""
         if home.program in self.accounts or home.program in self.homes:
             return None
@@ -327,9 +327,9 @@
             *(ShareChange(p, share) for p, share in self.shares.items()),
         ]
 
-    def forget_old(self) -> list[str]:
+    def expire(self) -> list[str]:
         """Drops programs that have ended long ago and returns them."""
-        oldest = wall_seconds() - FORGET_SECONDS
+        oldest = wall_seconds() - ACCOUNT_TTL_SECONDS
         accounts = [p for p, a in self.accounts.items() if a.touched < oldest]
         for program in accounts:
             del self.accounts[program]
--- a/libs/keeper/src/rattanmill_keeper/lookup.py
+++ b/libs/keeper/src/rattanmill_keeper/lookup.py
@@ -30,7 +30,7 @@
     """All that could hold the turn have said that they don't."""
 
 
-class KeptBy(msgspec.Struct, frozen=True):
+class KeepResult(msgspec.Struct, frozen=True):
     """Where a turn is on disk.
 
     Attributes:
@@ -41,7 +41,7 @@
 
     domains: list[str]
     keepers: list[str]
-    enough: bool
+    is_replicated: bool
 
 
 class Gap(msgspec.Struct):
@@ -86,7 +86,7 @@
             turn = kept.previous
 
 
-class Lookup:
+class TurnClient:
     """Keeps turns and finds chains of them.
 
     Args:
@@ -99,7 +99,7 @@
         self.copies = copies
         self.cache = TurnCache()
 
-    async def keep(self, kept: KeptTurn) -> KeptBy:
+    async def keep(self, kept: KeptTurn) -> KeepResult:
         """Returns when a turn is on disk in enough failure domains.
 
         If fewer can be reached, as in a domain that is cut off, those that
@@ -124,7 +124,7 @@
         self.reach.metrics.observe(
             "rattanmill_keep_seconds", loop_seconds() - began
         )
-        return KeptBy(
+        return KeepResult(
             [member.domain for member in kept_at],
             [member.name for member in kept_at],
             len(kept_at) >= self.copies,
--- a/libs/keeper/src/rattanmill_keeper/messages.py
+++ b/libs/keeper/src/rattanmill_keeper/messages.py
@@ -9,7 +9,7 @@
 
 # Instances grant alone only where there are no more than these: with more, the
 # consent of others may leave out several that grant.
-MOST_SHARING = 3
+MAX_SHARERS = 3
 
 
 class KeptTurn(msgspec.Struct, frozen=True, tag="turn"):
@@ -117,7 +117,7 @@
         return self.budget - self.place.reserved + self.given
 
 
-def most_alone(budget: int, tokens: int) -> int:
+def max_share(budget: int, tokens: int) -> int:
     """Returns the most that one instance may grant a program alone.
 
     A failure domain that is cut off goes on with it. Callers allow a program
@@ -129,7 +129,7 @@
         budget: All that the program may use.
         tokens: The most that one turn uses.
     """
-    return (budget + tokens) // MOST_SHARING
+    return (budget + tokens) // MAX_SHARERS
 
 
 class Share(msgspec.Struct):
--- a/libs/keeper/src/rattanmill_keeper/permits.py
+++ b/libs/keeper/src/rattanmill_keeper/permits.py
@@ -57,7 +57,7 @@
 _MOST_PROGRAMS = 20_000
 
 
-class Permits:
+class BudgetClient:
     """Reserves budgets and books what was used.
 
     Attributes:
@@ -73,7 +73,7 @@
         self.opened: collections.OrderedDict[str, Opened] = (
             collections.OrderedDict()
         )
-        self.alone: dict[str, str] = {}
+        self.granted_alone_by: dict[str, str] = {}
 
     async def reserve(self, ask: Reserve) -> Reserved | Spent | Unsure:
         """Asks for the permission to run a turn.
@@ -100,7 +100,7 @@
 
     def settle_later(self, program: str, attempt: str, tokens: int) -> None:
         """Tells the holders what an attempt has used, until they know."""
-        granted_by = self.alone.pop(attempt, "")
+        granted_by = self.granted_alone_by.pop(attempt, "")
         said = Settle(program, attempt, tokens, bool(granted_by))
         for name in {*self.holders_of(program), granted_by} - {""}:
             self.reach.spawn(self._settle(said, name))
@@ -268,7 +268,7 @@
         for member in self._near(ask.place.sharers if ask.place else ()):
             reply = await self.reach.ask(member, alone, _ALONE_SECONDS)
             if isinstance(reply, Reserved):
-                self.alone[ask.attempt] = member.name
+                self.granted_alone_by[ask.attempt] = member.name
                 return reply
             if isinstance(reply, Full):
                 refusal = Unsure("what may be granted alone is used up")
--- a/libs/keeper/src/rattanmill_keeper/reach.py
+++ b/libs/keeper/src/rattanmill_keeper/reach.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from rattanmill_core import CrashNote, Metrics, log_event, loop_seconds
-from rattanmill_keeper.crashes import CrashNews
+from rattanmill_keeper.crashes import CrashFeed
 from rattanmill_keeper.members import PREFIX, Member, Members
 from rattanmill_keeper.messages import Crashed, Pong
 from rattanmill_platform import Unavailable
@@ -81,7 +81,7 @@
         self.asked: dict[str, float] = {}
         self.asked_domains: dict[str, float] = {}
         self.cut_at: float | None = None
-        self.crashes = CrashNews()
+        self.crashes = CrashFeed()
         self.tasks: set[asyncio.Task] = set()
 
     async def ask(
@@ -297,7 +297,7 @@
         ping = self.crashes.ping(member)
         pong = await self._ask(member, ping, seconds)
         if isinstance(pong, Pong):
-            self.crashes.take(member, pong)
+            self.crashes.receive(member, pong)
             self.members.hear_of(pong.revision)
 
     def _far(self) -> list[Member]:
--- a/libs/keeper/src/rattanmill_keeper/records.py
+++ b/libs/keeper/src/rattanmill_keeper/records.py
@@ -31,7 +31,7 @@
 _DECODER = msgspec.msgpack.Decoder(Record)
 
 
-class Mark(msgspec.Struct, frozen=True):
+class CompletionMarker(msgspec.Struct, frozen=True):
     """What stands on the disk of an instance that has all that it should.
 
     Attributes:
@@ -59,7 +59,7 @@
         return None
 
 
-def write_mark(folder: pathlib.Path, mark: Mark) -> None:
+def write_marker(folder: pathlib.Path, mark: CompletionMarker) -> None:
     """Writes the mark, unless there is one.
 
     Synced, or a power loss takes it, and the instance that comes back with all
@@ -74,7 +74,7 @@
         os.fsync(file.fileno())
 
 
-def read_mark(folder: pathlib.Path) -> Mark | None:
+def read_marker(folder: pathlib.Path) -> CompletionMarker | None:
     """Returns the mark; None if there is none.
 
     One that can't be read says that all is there, and not what was granted
@@ -84,7 +84,7 @@
     if not path.exists():
         return None
     try:
-        return msgspec.json.decode(path.read_bytes(), type=Mark)
+        return msgspec.json.decode(path.read_bytes(), type=CompletionMarker)
     except msgspec.DecodeError as error:
         warn_event("mark_undecodable", why=str(error))
-        return Mark()
+        return CompletionMarker()
--- a/libs/keeper/src/rattanmill_keeper/turns.py
+++ b/libs/keeper/src/rattanmill_keeper/turns.py
@@ -52,11 +52,11 @@
             turn = held.kept.previous
         return Chain(turns, turn)
 
-    def pick(self, turns: Iterable[str]) -> list[KeptTurn]:
+    def get_many(self, turns: Iterable[str]) -> list[KeptTurn]:
         """Returns those of the turns that are held."""
         return [self.held[t].kept for t in turns if t in self.held]
 
-    def lacking(self, turns: Iterable[str]) -> list[str]:
+    def missing(self, turns: Iterable[str]) -> list[str]:
         """Returns those of the turns that are not held."""
         return [turn for turn in turns if turn not in self.held]
 
@@ -84,7 +84,7 @@
         return {held.segment for held in self.held.values()}
 
 
-class HomeOf(msgspec.Struct, frozen=True):
+class HomeEntry(msgspec.Struct, frozen=True):
     """Stands for the home of a program where others stand for its account.
 
     The account changes with each use, which concerns its holders alone; where
@@ -94,7 +94,7 @@
     program: str
 
 
-class Intake:
+class ChangeLog:
     """Order in which turns, homes and uses came in, for those who follow.
 
     Attributes:
@@ -105,22 +105,22 @@
 
     def __init__(self) -> None:
         self.position = 0
-        self.entries: dict[int, str | HomeOf] = {}
-        self.positions: dict[str | HomeOf, int] = {}
+        self.entries: dict[int, str | HomeEntry] = {}
+        self.positions: dict[str | HomeEntry, int] = {}
 
-    def add(self, entry: str | HomeOf) -> None:
+    def add(self, entry: str | HomeEntry) -> None:
         """Appends an entry; one that is there already moves to the end."""
         self.remove(entry)
         self.position += 1
         self.entries[self.position] = entry
         self.positions[entry] = self.position
 
-    def remove(self, entry: str | HomeOf) -> None:
+    def remove(self, entry: str | HomeEntry) -> None:
         """Forgets an entry."""
         position = self.positions.pop(entry, 0)
         self.entries.pop(position, None)
 
-    def since(self, after: int, most: int) -> list[tuple[int, str | HomeOf]]:
+    def since(self, after: int, most: int) -> list[tuple[int, str | HomeEntry]]:
         """Returns the oldest entries after a position, up to ``most``."""
         newer = []
         for position, entry in reversed(self.entries.items()):
--- a/tests/features/steps/following.py
+++ b/tests/features/steps/following.py
@@ -42,7 +42,7 @@
         context.attempts = 0
     context.attempts += 1
     ask = Reserve("p", f"turn-{context.attempts}", _TOKENS, _BUDGET)
-    reply = await context.front.permits.reserve(ask)
+    reply = await context.front.budgets.reserve(ask)
     assert isinstance(reply, Reserved), reply
     # The replies of the other holders.
     await n.pass_time(0.01)
@@ -92,7 +92,7 @@
             previous = f"t{number - 1}" if number else ""
             expires = wall_seconds() + _RETENTION_SECONDS
             kept = KeptTurn(f"t{number}", previous, b"text", expires, chain)
-            assert (await front.lookup.keep(kept)).enough
+            assert (await front.turns.keep(kept)).is_replicated
             await n.pass_time(0.01)
             await follow_all(context, n)
 
@@ -141,7 +141,7 @@
 
 
 def holders(context):
-    return context.front.permits.holders_of("p")
+    return context.front.budgets.holders_of("p")
 
 
 @when("a holder is cut off while it reserves {count:d} turns more")
--- a/tests/features/steps/keeping.py
+++ b/tests/features/steps/keeping.py
@@ -96,7 +96,7 @@
                 break
             network(context, lambda n: n.pass_time(_OPEN_PAUSE_SECONDS))
         assert isinstance(reply, Reserved), (name, reply)
-        found.add(context.network.fronts[attempt].permits.holders_of("new"))
+        found.add(context.network.fronts[attempt].budgets.holders_of("new"))
     assert len(found) == 1, found
 
 
@@ -289,7 +289,7 @@
             n.introduce(members, name)
         context.front = KeeperClient("domain-a", 2, members, Metrics())
         asking = asyncio.create_task(
-            context.front.permits.reserve(
+            context.front.budgets.reserve(
                 Reserve("left", "one", TOKENS, BUDGET)
             )
         )
@@ -337,7 +337,7 @@
 )
 def step_used_without_one(context, name):
     assert isinstance(ask(context, name, "old", "one"), Reserved)
-    holders = context.network.fronts["one"].permits.holders_of("old")
+    holders = context.network.fronts["one"].budgets.holders_of("old")
     context.holders = holders
     for each in context.network.names:
         if each != holders[-1]:
--- a/tests/features/steps/keeping_cut.py
+++ b/tests/features/steps/keeping_cut.py
@@ -112,7 +112,7 @@
         client = await after_a_while(context)
         links = client.reach.members.links
         before = {name: links[name].asked for name in names.split(", ")}
-        reply = await client.permits.reserve(Reserve("p", "a", 10, 100))
+        reply = await client.budgets.reserve(Reserve("p", "a", 10, 100))
         after = {name: links[name].asked for name in before}
         await end(client)
         return reply, before, after
--- a/tests/features/steps/keeping_proof.py
+++ b/tests/features/steps/keeping_proof.py
@@ -21,7 +21,7 @@
 from support.stories import BUDGET, MOST, OPERATIONS, TOKENS, play
 from support.virtual import run_virtually
 
-RECORD_ALONE = Ledger.record_alone
+_RESERVE_ALONE = Ledger.reserve_alone
 
 
 _SETTINGS = hypothesis.settings(
@@ -169,12 +169,12 @@
 def _share_again(network):
     """Lets an opener that has lost its disk set a share aside again."""
 
-    def record_alone(ledger, ask, may_begin):
+    def reserve_alone(ledger, ask, may_open_share):
         ledger.shares.setdefault(ask.program, Share())
-        return RECORD_ALONE(ledger, ask, may_begin)
+        return _RESERVE_ALONE(ledger, ask, may_open_share)
 
     network.stack.enter_context(
-        unittest.mock.patch.object(Ledger, "record_alone", record_alone)
+        unittest.mock.patch.object(Ledger, "reserve_alone", reserve_alone)
     )
 
 
--- a/tests/features/steps/keeping_turns.py
+++ b/tests/features/steps/keeping_turns.py
@@ -8,7 +8,7 @@
 from rattanmill_keeper import (
     KeptTurn,
 )
-from rattanmill_keeper.journal import frame, read_frames
+from rattanmill_keeper.journal import decode_frames, encode_frame
 from rattanmill_keeper.messages import Keep, Ping, codec
 from rattanmill_wire import RequestLink
 from support.keepers import begin
@@ -97,11 +97,11 @@
             previous = f"t{number - 1}" if number else ""
             front = n.front(context.near[number % len(context.near)])
             if previous:
-                found = await front.lookup.find(previous, "p")
+                found = await front.turns.find(previous, "p")
                 assert len(found) == number, (number, found)
             expires = wall_seconds() + 60.0
             kept = KeptTurn(f"t{number}", previous, b"text", expires, "p")
-            assert (await front.lookup.keep(kept)).enough
+            assert (await front.turns.keep(kept)).is_replicated
 
     network(context, keep_all)
     context.turns += count
@@ -136,7 +136,7 @@
             return await ask(member, *how)
 
         front.reach.ask = count
-        return await front.lookup.find(f"t{context.turns - 1}", chain)
+        return await front.turns.find(f"t{context.turns - 1}", chain)
 
     found = network(context, find)
     assert isinstance(found, list), found
@@ -235,25 +235,25 @@
 
 @then("a journal cut at any byte gives back a prefix of its records")
 def step_cut_anywhere(context):
-    content = b"".join(map(frame, _RECORDS))
+    content = b"".join(map(encode_frame, _RECORDS))
     ends = [0]
     for record in _RECORDS:
-        ends.append(ends[-1] + len(frame(record)))
+        ends.append(ends[-1] + len(encode_frame(record)))
     for garbage in (b"", bytes(40), b"\xff" * 40):
         for at in range(len(content) + 1):
-            found = list(read_frames(content[:at] + garbage))
+            found = list(decode_frames(content[:at] + garbage))
             whole = sum(end <= at for end in ends[1:])
             assert found == _RECORDS[:whole], (at, garbage, found)
 
 
 @then("so it does with each byte of its last record changed")
 def step_change_each(context):
-    content = b"".join(map(frame, _RECORDS))
-    start = len(content) - len(frame(_RECORDS[-1]))
+    content = b"".join(map(encode_frame, _RECORDS))
+    start = len(content) - len(encode_frame(_RECORDS[-1]))
     for at in range(start, len(content)):
         changed = bytearray(content)
         changed[at] ^= 0x55
-        found = list(read_frames(bytes(changed)))
+        found = list(decode_frames(bytes(changed)))
         assert found == _RECORDS[:-1], (at, found)
 
 
--- a/tests/features/steps/lookups.py
+++ b/tests/features/steps/lookups.py
@@ -51,8 +51,8 @@
         front = n.front("new0")
         context.chain = conversation_at(n.members["new0"], joined)
         for number in range(3):
-            kept_by = await front.lookup.keep(turn(number, context.chain))
-            assert kept_by.enough
+            kept_by = await front.turns.keep(turn(number, context.chain))
+            assert kept_by.is_replicated
 
     network(context, keep)
 
@@ -160,7 +160,7 @@
 
 def find(context, make, name, wanted, chain="p"):
     """Returns what a front finds."""
-    return network(context, lambda n: make(n, name).lookup.find(wanted, chain))
+    return network(context, lambda n: make(n, name).turns.find(wanted, chain))
 
 
 def check_conversation(found):
@@ -180,7 +180,7 @@
 def step_finds_rest(context, name):
     def having_newest(n, name):
         front = n.front(name)
-        front.lookup.cache.add(turn(2, context.chain))
+        front.turns.cache.add(turn(2, context.chain))
         return front
 
     check_conversation(find(context, having_newest, name, "t2", context.chain))
@@ -210,7 +210,7 @@
 def step_many_ask(context, count):
     async def ask_all(n):
         front = n.front("s0")
-        finds = [front.lookup.find(f"never{i}", "p") for i in range(count)]
+        finds = [front.turns.find(f"never{i}", "p") for i in range(count)]
         return await asyncio.gather(*finds)
 
     before = context.network.kv.calls
@@ -254,7 +254,7 @@
 def step_ask_first(context):
     async def ask(n):
         context.front = n.front("s0")
-        look = context.front.lookup.find("never", "p")
+        look = context.front.turns.find("never", "p")
         calls = n.kv.calls
         context.first = asyncio.create_task(look)
         await wait_for_call(n, calls)
@@ -265,7 +265,7 @@
 @then("the same front finds the conversation")
 def step_same_front_finds(context):
     async def find_both(n):
-        look = context.front.lookup.find("t2", context.chain)
+        look = context.front.turns.find("t2", context.chain)
         return await asyncio.gather(look, context.first)
 
     found, _ = network(context, find_both)
@@ -299,8 +299,8 @@
         front = n.front("b")
         for name in n.names:
             n.introduce(front.reach.members, name)
-        front.lookup.copies = len(n.names)
-        return await front.lookup.keep(turn(0, "p"))
+        front.turns.copies = len(n.names)
+        return await front.turns.keep(turn(0, "p"))
 
     kept_by = network(context, keep)
     assert sorted(kept_by.keepers) == names.split(", "), kept_by
--- a/tests/features/steps/review.py
+++ b/tests/features/steps/review.py
@@ -52,9 +52,9 @@
     """Lets openers take the others' word for the store's."""
 
     async def decide(keeper, home, contested):
-        keeper.ledger.learn(home)
+        keeper.ledger.add_home(home)
         consent = contested.consent
-        return Consent(consent.missing, consent.having)
+        return Consent(consent.missing, consent.with_share)
 
     for keeper in n.keepers.values():
         keeper._decide = lambda *how, keeper=keeper: decide(keeper, *how)
--- a/tests/features/steps/signs.py
+++ b/tests/features/steps/signs.py
@@ -9,7 +9,7 @@
 
 from rattanmill_core import CrashNote, Metrics, start_loop
 from rattanmill_keeper import Member, Members
-from rattanmill_keeper.crashes import CrashBoard
+from rattanmill_keeper.crashes import CrashLog
 from rattanmill_keeper.messages import Crashed, Done, Fetch, Ping
 from rattanmill_keeper.reach import Reach
 from support.memory import MemoryKv
@@ -31,7 +31,7 @@
         self.asked = 0
         self.failures = 0
         self.pongs = []
-        self.board = CrashBoard("run")
+        self.board = CrashLog("run")
 
     async def ask(self, message, seconds):
         """Returns a sign of life, or None after the asker's time."""
--- a/tests/features/steps/views_keepers.py
+++ b/tests/features/steps/views_keepers.py
@@ -195,7 +195,7 @@
 
 @then('a front that starts beside "{name}" does not deny the turn')
 def step_not_denied(context, name):
-    found = network(context, lambda n: n.front(name).lookup.find("t", ""))
+    found = network(context, lambda n: n.front(name).turns.find("t", ""))
     assert not isinstance(found, NoSuchTurn), found
 
 
@@ -275,13 +275,13 @@
 @when('the disk of "{name}" is held up')
 def step_hold(context, name):
     context.held = HeldExecutor()
-    context.network.keepers[name].journal.thread = context.held
+    context.network.keepers[name].journal.executor = context.held
 
 
 @when('the disk of "{name}" goes on')
 def step_go_on(context, name):
     async def go_on(n):
-        n.keepers[name].journal.thread = InlineExecutor()
+        n.keepers[name].journal.executor = InlineExecutor()
         context.held.let_go()
         await n.pass_time(0.05)
 
@@ -486,7 +486,7 @@
         others = [other for other in n.keepers if other not in (name, "b")]
         for other in others:
             await n.kill(other)
-        return await context.front.lookup.keep(kept)
+        return await context.front.turns.keep(kept)
 
     domains = network(context, keep).domains
     assert f"domain-{name}" not in domains, domains
@@ -509,7 +509,7 @@
 @then('a front beside "{name}" keeps a turn in {count:d} failure domains')
 def step_kept_in(context, name, count):
     kept = KeptTurn("t", "", b"text", wall_seconds() + 60.0)
-    found = network(context, lambda n: n.front(name).lookup.keep(kept))
+    found = network(context, lambda n: n.front(name).turns.keep(kept))
     assert len(found.domains) >= count, found
 
 
@@ -534,13 +534,13 @@
         for number in range(count):
             program = f"busy-{number}"
             fronts[program] = n.front(first)
-            reply = await fronts[program].permits.reserve(ask(program))
+            reply = await fronts[program].budgets.reserve(ask(program))
             assert isinstance(reply, Reserved), reply
 
         async def ask_for_ever():
             while True:
                 for program, front in fronts.items():
-                    await front.permits.reserve(ask(program))
+                    await front.budgets.reserve(ask(program))
                     await asyncio.sleep(0.001)
 
         work = asyncio.create_task(ask_for_ever())
--- a/tests/support/keepers.py
+++ b/tests/support/keepers.py
@@ -185,7 +185,7 @@
         keeper = Keeper(
             name, self.folder / name, first, members, self.kv, _METRICS
         )
-        keeper.journal.thread = self.new_disk()
+        keeper.journal.executor = self.new_disk()
         await keeper.__aenter__()
         self.keepers[name] = keeper
 
@@ -243,7 +243,7 @@
     async def kill(self, name: str) -> None:
         """Ends one; what it has not synced is lost."""
         keeper = self.keepers.pop(name)
-        keeper.journal.waiting.clear()
+        keeper.journal.pending.clear()
         await keeper.__aexit__(None, None, None)
 
     async def wipe(self, name: str) -> None:
@@ -300,12 +300,12 @@
         """Asks as a new front beside ``name`` does."""
         front = self.front(name)
         self.fronts[ask.attempt] = front
-        return await front.permits.reserve(ask)
+        return await front.budgets.reserve(ask)
 
     def settle(self, program: str, attempt: str, tokens: int) -> None:
         """Books a use in the background, by the front that asked for it."""
         front = self.fronts[attempt]
-        front.permits.settle_later(program, attempt, tokens)
+        front.budgets.settle_later(program, attempt, tokens)
 
     async def pass_time(self, seconds: float) -> None:
         """Lets fronts and storage instances go on for a while."""
--- a/tests/support/opening.py
+++ b/tests/support/opening.py
@@ -343,7 +343,7 @@
         for name in network.names:
             ask = Reserve("p", f"front-{name}", 1, _BUDGET)
             reply = await network.reserve(name, ask)
-            holders = network.fronts[ask.attempt].permits.holders_of("p")
+            holders = network.fronts[ask.attempt].budgets.holders_of("p")
             found.add(holders if isinstance(reply, Reserved) else ())
         await asyncio.sleep(_CALM_SECONDS)
         return found
