--- a/libs/forward/src/rattanmill_forward/turns.py
+++ b/libs/forward/src/rattanmill_forward/turns.py
@@ -16,7 +16,7 @@
 from rattanmill_forward.routes import Route, Service
 from rattanmill_keeper import (
     KeeperClient,
-    KeptBy,
+    KeepResult,
     KeptTurn,
     NoSuchTurn,
     Reserve,
@@ -89,7 +89,7 @@
             # The caller disconnected. The budget may have been reserved
             # already.
             if call.program and call.token_budget is not None:
-                self.keepers.permits.settle_later(
+                self.keepers.budgets.settle_later(
                     call.program, call.request_id, 0
                 )
             raise
@@ -99,7 +99,7 @@
         if refusal is None:
             return Turn(history.body, reservation, history.chain_key)
         if isinstance(reservation, int) and reservation:
-            self.keepers.permits.settle_later(call.program, call.request_id, 0)
+            self.keepers.budgets.settle_later(call.program, call.request_id, 0)
         return refusal
 
     def _would_be_unreachable(self, call: Call, route: Route) -> bool:
@@ -118,7 +118,7 @@
     async def _history(self, call: Call, route: Route) -> History | Refusal:
         if not (route.stores_turns and call.previous_turn_id):
             return History(call.body, call.program)
-        found = await self.keepers.lookup.find(
+        found = await self.keepers.turns.find(
             call.previous_turn_id, call.program
         )
         match found:
@@ -133,7 +133,7 @@
         if not call.program or call.token_budget is None:
             return 0
         tokens = call.max_output_tokens
-        reply = await self.keepers.permits.reserve(
+        reply = await self.keepers.budgets.reserve(
             Reserve(call.program, call.request_id, tokens, call.token_budget)
         )
         outcome = type(reply).__name__.lower()
@@ -144,8 +144,9 @@
             tokens=tokens,
             budget=call.token_budget,
             outcome=outcome,
-            holders=self.keepers.permits.holders_of(call.program),
-            alone=call.request_id in self.keepers.permits.alone,
+            holders=self.keepers.budgets.holders_of(call.program),
+            granted_alone_by=call.request_id
+            in self.keepers.budgets.granted_alone_by,
             taken=getattr(reply, "taken", None),
             settled=getattr(reply, "settled", None),
             why=getattr(reply, "why", None),
@@ -175,9 +176,9 @@
         used = turn.reserved_tokens
         if service.engine:
             used = turn.events_sent * service.engine.tokens_per_event
-        self.keepers.permits.settle_later(call.program, call.request_id, used)
+        self.keepers.budgets.settle_later(call.program, call.request_id, used)
 
-    async def store(self, call: Call, route: Route, turn: Turn) -> KeptBy:
+    async def store(self, call: Call, route: Route, turn: Turn) -> KeepResult:
         """Stores a finished turn for the turns that continue it."""
         text = b"".join(
             [call.body, *(data + b"\n" for data in turn.event_data)]
@@ -189,7 +190,7 @@
             wall_seconds() + route.retention_seconds,
             turn.chain_key,
         )
-        kept_by = await self.keepers.lookup.keep(kept)
+        kept_by = await self.keepers.turns.keep(kept)
         log_event(
             "turn_kept",
             request=call.request_id,
@@ -198,6 +199,6 @@
             bytes=len(text),
             domains=kept_by.domains,
             keepers=kept_by.keepers,
-            enough=kept_by.enough,
+            enough=kept_by.is_replicated,
         )
         return kept_by
--- a/libs/keeper/src/rattanmill_keeper/reach.py
+++ b/libs/keeper/src/rattanmill_keeper/reach.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from rattanmill_core import CrashNote, Metrics, log_event, loop_seconds
-from rattanmill_keeper.crashes import CrashNews
+from rattanmill_keeper.crashes import CrashFeed
 from rattanmill_keeper.members import PREFIX, Member, Members
 from rattanmill_keeper.messages import Crashed, Pong
 from rattanmill_platform import Unavailable
@@ -81,7 +81,7 @@
         self.asked: dict[str, float] = {}
         self.asked_domains: dict[str, float] = {}
         self.cut_at: float | None = None
-        self.crashes = CrashNews()
+        self.crashes = CrashFeed()
         self.tasks: set[asyncio.Task] = set()
 
     async def ask(
@@ -301,7 +301,7 @@
         ping = self.crashes.ping(member)
         pong = await self._ask(member, ping, seconds)
         if isinstance(pong, Pong):
-            self.crashes.take(member, pong)
+            self.crashes.receive(member, pong)
             self.members.expect_revision(pong.revision)
 
     def _far(self) -> list[Member]:
