--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -44,7 +44,7 @@
         model="commentary",
         prefixes=prefixes,
         prompt_tokens=sum(tokens for _, tokens in prefixes),
-        output_tokens=200,
+        max_output_tokens=200,
     )
 
 
@@ -69,11 +69,11 @@
             placed.outcome = Outcome.ANSWERED
             placed.seconds, placed.first_token_seconds = 0.5, 0.1
             placed.prompt_tokens = work.prompt_tokens
-            placed.cached_tokens = placed.cached_expected
+            placed.cached_tokens = placed.expected_cached_tokens
             placed.output_tokens = 50
         times.append(time.perf_counter() - began)
         name = placed.state.endpoint.name
-        scheduler.take_report(name, LoadReport(0, 2, 8))
+        scheduler.record_load_report(name, LoadReport(0, 2, 8))
         if count % 50 == 0:
             await asyncio.sleep(_LEAST_REST)
     return times[_WARM:]
--- a/bench/policies.py
+++ b/bench/policies.py
@@ -33,14 +33,14 @@
 
     async def place(self, work: Work) -> Placement | Refusal:
         """Returns the next endpoint in turn."""
-        self.known.candidates.of(work)
-        if refusal := self._unserved(work):
+        self.state.candidates.names_for(work)
+        if refusal := self._refuse_unserved(work):
             return refusal
-        states = self.known.candidates.pick(work, ())
+        states = self.state.candidates.select(work, ())
         if not states:
             detail = f"No endpoint for '{work.group}' takes work now."
             return refuse(Reason.NO_ENDPOINT, detail)
-        return Placement(work, self.select(states), self.finished)
+        return Placement(work, self.select(states), self.on_attempt_end)
 
     def select(self, states: list[EndpointState]) -> EndpointState:
         """Returns the endpoint for a call."""
@@ -50,7 +50,7 @@
         """Allows three tries, whatever the load."""
         return len(work.tried) < _TRIES and outcome is not Outcome.REJECTED
 
-    def finished(self, placement: Placement) -> None:
+    def on_attempt_end(self, placement: Placement) -> None:
         """Avoids an endpoint that could not be reached for a second."""
         if placement.outcome in (Outcome.NOT_CONNECTED, Outcome.DRAINING):
             self.table.avoid(placement.state.endpoint.name, 1.0)
--- a/libs/entry/src/rattanmill_entry/daemon.py
+++ b/libs/entry/src/rattanmill_entry/daemon.py
@@ -45,7 +45,7 @@
 )
 from rattanmill_platform.lease import new_incarnation
 from rattanmill_platform.live import instance_key
-from rattanmill_policy import EndpointTable, LoadReports, Scheduler
+from rattanmill_policy import EndpointTable, LoadPoller, Scheduler
 from rattanmill_wire import PeerHub, load_secret
 
 _log = part_logger("daemon")
@@ -86,7 +86,7 @@
         await stack.enter_async_context(node.live)
         await stack.enter_async_context(node.directory)
         await stack.enter_async_context(
-            LoadReports(node.scheduler, node.session)
+            LoadPoller(node.scheduler, node.session)
         )
         await stack.enter_async_context(gossip)
         await stack.enter_async_context(signs)
--- a/libs/entry/src/rattanmill_entry/engines.py
+++ b/libs/entry/src/rattanmill_entry/engines.py
@@ -134,7 +134,7 @@
         calm = []
         domain = self.node.settings.domain
         for state in self.node.table.states.values():
-            if state.running and self._is_stuck(state):
+            if state.active_timeouts and self._is_stuck(state):
                 urgent.append(state)
             elif (
                 (state.endpoint.domain == domain or state.closed)
@@ -183,7 +183,7 @@
     def _is_stuck(self, state: EndpointState) -> bool:
         """Whether our calls there have made no progress for a while."""
         idle = loop_seconds() - state.progress_at
-        return bool(state.running) and idle > _STALL_SECONDS
+        return bool(state.active_timeouts) and idle > _STALL_SECONDS
 
     async def _probe(self, state: EndpointState, record: _Record) -> Probe:
         began = loop_seconds()
@@ -252,7 +252,7 @@
             return
         record.silent = record.silent + 1 if found is Probe.SILENT else 0
         if load:
-            state.report(load)
+            state.update_load(load)
         if found is Probe.REFUSED:
             if not state.reach.closed:
                 table.close(state, Aspect.REACH, Sign.REFUSED)
@@ -268,11 +268,11 @@
         if answered and not self._is_stuck(state):
             state.avoid_until = 0.0
         now = loop_seconds()
-        if state.reach.probed(answered and moves, now):
+        if state.reach.record_probe(answered and moves, now):
             table.reopen(state, Aspect.REACH)
             _log.info("Endpoint {} works again.", state.endpoint.name)
         back = found is Probe.GOOD and state.endpoint.state == "live"
-        if state.departure.probed(back and state.listed, now):
+        if state.departure.record_probe(back and state.listed, now):
             table.reopen(state, Aspect.DEPARTURE)
             _log.info("Endpoint {} is back.", state.endpoint.name)
 
@@ -329,14 +329,14 @@
     Without it, a call at an engine that hangs waits for the longest silence
     that a healthy engine may keep.
     """
-    if not state.running:
+    if not state.active_timeouts:
         state.progress_at = loop_seconds()
     async with contextlib.aclosing(parts):
         while True:
             timer = asyncio.timeout(None)
             try:
                 async with timer:
-                    state.running.add(timer)
+                    state.active_timeouts.add(timer)
                     part = await anext(parts)
             except StopAsyncIteration:
                 return
@@ -344,7 +344,7 @@
                 yield Failed(Outcome.TIMED_OUT, 0, "the endpoint hangs")
                 return
             finally:
-                state.running.discard(timer)
+                state.active_timeouts.discard(timer)
             state.progress_at = loop_seconds()
             yield part
 
--- a/libs/entry/src/rattanmill_entry/memory.py
+++ b/libs/entry/src/rattanmill_entry/memory.py
@@ -26,7 +26,7 @@
 from rattanmill_entry.expiry import end_expired
 from rattanmill_entry.node import Node
 from rattanmill_entry.route import owner_of
-from rattanmill_policy import EndpointState, Pin, Pinned, has_room
+from rattanmill_policy import EndpointState, Pin, ProgramPins, has_room
 from rattanmill_programs import Program, Shard
 from rattanmill_wire import PinsHeld
 
@@ -61,7 +61,7 @@
     def __init__(self, node: Node, watch: EndpointWatch) -> None:
         self.node = node
         self.watch = watch
-        self.programs: dict[str, Pinned] = {}
+        self.programs: dict[str, ProgramPins] = {}
         self.swept = 0
         self.sweep_at = 0.0
         self.task: asyncio.Task | None = None
@@ -77,7 +77,7 @@
     def turn_began(self, program: str) -> None:
         """Learns how long the program's tool pause was."""
         if pinned := self.programs.get(program):
-            pinned.returned(loop_seconds())
+            pinned.end_pause(loop_seconds())
 
     def turn_ended(self, run: ChatRun, state: EndpointState) -> None:
         """Keeps the program's cache where its turn ran, if that is worth it."""
@@ -86,19 +86,19 @@
         if found is None:
             return
         shard, _ = found
-        pinned = self.programs.setdefault(program, Pinned())
+        pinned = self.programs.setdefault(program, ProgramPins())
         pinned.paused_at = loop_seconds()
         name = state.endpoint.name
         for other in [n for n in pinned.pins if n != name]:
             self._release(shard, program, other, "moved")
         tokens = sum(tokens for _, tokens in run.work.prefixes)
         if pinned.covers(name, tokens):
-            pinned.pins[name].until = pinned.deadline(loop_seconds())
-        elif pinned.is_worth_keeping(tokens) and has_room(
+            pinned.pins[name].expires_at = pinned.pin_deadline(loop_seconds())
+        elif pinned.should_pin(tokens) and has_room(
             state, tokens, self._tokens_at(name)
         ):
             # Noted first: if the answer is lost, the pin may be there.
-            pinned.pins[name] = Pin(tokens, pinned.deadline(loop_seconds()))
+            pinned.pins[name] = Pin(tokens, pinned.pin_deadline(loop_seconds()))
             self.node.spawn(self._pin(run, state))
 
     def hear(self, message: PinsHeld) -> None:
@@ -122,10 +122,10 @@
         if known is None or known.ended is not None:
             self._release(shard, program, engine, "swept")
             return
-        pinned = self.programs.setdefault(program, Pinned())
+        pinned = self.programs.setdefault(program, ProgramPins())
         if not pinned.pins:
             # Pinned by an owner before us.
-            pinned.pins[engine] = Pin(0, pinned.deadline(loop_seconds()))
+            pinned.pins[engine] = Pin(0, pinned.pin_deadline(loop_seconds()))
             self._count("adopted")
         elif engine not in pinned.pins:
             self._release(shard, program, engine, "swept")
@@ -155,7 +155,7 @@
             for engine, pin in list(pinned.pins.items()):
                 if ended:
                     self._release(shard, program, engine, "ended")
-                elif now > pin.until and not known.waiting:
+                elif now > pin.expires_at and not known.waiting:
                     self._release(shard, program, engine, "overdue")
             if ended:
                 self.programs.pop(program, None)
--- a/libs/entry/src/rattanmill_entry/quarantine.py
+++ b/libs/entry/src/rattanmill_entry/quarantine.py
@@ -56,7 +56,7 @@
     def refusal(self, prints: list[bytes], ran: Ran) -> Refusal | None:
         """Returns the refusal for a request that must not run."""
         quarantine = self.signs.quarantine
-        if not any(quarantine.is_condemned(each) for each in prints):
+        if not any(quarantine.is_quarantined(each) for each in prints):
             return None
         detail = "Endpoints crashed whenever they ran this request."
         return refuse(Reason.QUARANTINED, detail, ran=ran)
@@ -100,7 +100,7 @@
         same endpoint again. Its crash would tell nothing of either, and the
         one to blame would cost a third endpoint.
         """
-        places = map(self.signs.quarantine.place_of, prints)
+        places = map(self.signs.quarantine.retry_position, prints)
         pause = max(places, default=0) * _APART_SECONDS
         await asyncio.sleep(min(pause, _ALONE_SECONDS))
 
--- a/libs/entry/src/rattanmill_entry/serve.py
+++ b/libs/entry/src/rattanmill_entry/serve.py
@@ -140,7 +140,7 @@
         model=chat.model,
         prefixes=prefix_digests(chat.model, chat.messages),
         prompt_tokens=sum(len(m) // 4 + 1 for m in chat.messages),
-        output_tokens=chat.max_tokens,
+        max_output_tokens=chat.max_tokens,
         seconds_left=start.seconds_left,
         body_digest=chat.digest,
     )
--- a/libs/entry/src/rattanmill_entry/signs.py
+++ b/libs/entry/src/rattanmill_entry/signs.py
@@ -46,7 +46,7 @@
 
     def crashed(self, notes: list[CrashNote]) -> None:
         """Takes crashes or finished runs that were seen here."""
-        news = [note for note in notes if self.quarantine.take(note)]
+        news = [note for note in notes if self.quarantine.record(note)]
         for note in news:
             event = "suspected" if note.endpoint else "cleared"
             self.node.metrics.count("rattanmill_quarantine", event=event)
@@ -61,10 +61,10 @@
             note
             for note in message.endpoints
             if (inside or note.aspect is Aspect.DEPARTURE)
-            and node.table.take(note)
+            and node.table.merge(note)
         ]
         self._count(endpoints, "peer")
-        crashes = [n for n in message.crashes if self.quarantine.take(n)]
+        crashes = [n for n in message.crashes if self.quarantine.record(n)]
         if crashes:
             node.metrics.count(
                 "rattanmill_quarantine", len(crashes), event="heard"
@@ -107,9 +107,9 @@
         """What is not as usual, or was not a short while ago."""
         since = asyncio.get_running_loop().time() - _RECENT_SECONDS
         notes = [
-            mark.note(name)
+            mark.to_note(name)
             for name, state in self.node.table.states.items()
-            for mark in state.marks
+            for mark in state.aspects
             if mark.closed or mark.changed_at > since
         ]
         return EndpointNotes(
--- a/libs/entry/src/rattanmill_entry/turns.py
+++ b/libs/entry/src/rattanmill_entry/turns.py
@@ -230,7 +230,7 @@
         model=plan.chat.model,
         prefixes=prefix_digests(plan.chat.model, plan.messages),
         prompt_tokens=sum(len(m) // 4 + 1 for m in plan.messages),
-        output_tokens=plan.max_tokens,
+        max_output_tokens=plan.max_tokens,
         seconds_left=start.seconds_left,
         age_seconds=max(0.0, time.time() - made.created),
         body_digest=plan.chat.digest,
--- a/libs/forward/src/rattanmill_forward/crashes.py
+++ b/libs/forward/src/rattanmill_forward/crashes.py
@@ -64,7 +64,7 @@
 
     def refusal(self, fingerprint: bytes, ran: Ran) -> Refusal | None:
         """Returns the refusal for a request that must not run."""
-        if not self.quarantine.is_condemned(fingerprint):
+        if not self.quarantine.is_quarantined(fingerprint):
             return None
         return refuse(
             Reason.QUARANTINED,
@@ -90,7 +90,7 @@
 
     def hear(self, notes: list[CrashNote]) -> None:
         """Takes what other fronts have seen."""
-        news = sum(map(self.quarantine.take, notes))
+        news = sum(map(self.quarantine.record, notes))
         if news:
             log_event("crashes_heard", count=news)
             self.metrics.count("rattanmill_quarantine", news, event="heard")
@@ -121,7 +121,7 @@
         return await self.pool.is_refused(there)
 
     def _tell(self, note: CrashNote) -> None:
-        if self.quarantine.take(note):
+        if self.quarantine.record(note):
             event = "suspected" if note.endpoint else "cleared"
             self.metrics.count("rattanmill_quarantine", event=event)
             self.keepers.reach.tell_crashes([note])
--- a/libs/policy/src/rattanmill_policy/__init__.py
+++ b/libs/policy/src/rattanmill_policy/__init__.py
@@ -1,10 +1,10 @@
 """Decisions: which endpoint, when, how often again, and what not at all."""
 
-from rattanmill_policy.health import Load, Mark
+from rattanmill_policy.health import AspectState, Load
 from rattanmill_policy.knowledge import Rules
-from rattanmill_policy.loads import LoadReports
+from rattanmill_policy.loads import LoadPoller
 from rattanmill_policy.outcome import Outcome
-from rattanmill_policy.pinning import Pin, Pinned, has_room
+from rattanmill_policy.pinning import Pin, ProgramPins, has_room
 from rattanmill_policy.quarantine import Quarantine
 from rattanmill_policy.scheduler import Scheduler
 from rattanmill_policy.speeds import LoadReport
@@ -16,11 +16,11 @@
     "EndpointTable",
     "Load",
     "LoadReport",
-    "LoadReports",
-    "Mark",
+    "LoadPoller",
+    "AspectState",
     "Outcome",
     "Pin",
-    "Pinned",
+    "ProgramPins",
     "Placement",
     "Quarantine",
     "Rules",
--- a/libs/policy/src/rattanmill_policy/candidates.py
+++ b/libs/policy/src/rattanmill_policy/candidates.py
@@ -4,16 +4,16 @@
 import random
 from collections.abc import Iterable
 
-from rattanmill_policy.admission import FIRST_LIMIT
+from rattanmill_policy.admission import INITIAL_LIMIT
 from rattanmill_policy.ring import Ring
-from rattanmill_policy.speeds import EndpointStats, Speed
+from rattanmill_policy.speeds import EndpointStats, SpeedEstimate
 from rattanmill_policy.table import EndpointState, EndpointTable
 from rattanmill_policy.work import Work
 
-_ALL = 16
-_SAMPLE = 8
-_LEAST_READ_SECONDS = 0.2
-_MOST_READ_SECONDS = 5.0
+_COMPARE_ALL_LIMIT = 16
+_SAMPLE_SIZE = 8
+_MIN_REFRESH_SECONDS = 0.2
+_MAX_REFRESH_SECONDS = 5.0
 
 
 class _Pool:
@@ -21,8 +21,8 @@
 
     def __init__(self) -> None:
         self.names: list[str] = []
-        self.read_at = float("-inf")
-        self.fleet = Speed()
+        self.refreshed_at = float("-inf")
+        self.fleet = SpeedEstimate()
         self.ring = Ring()
 
 
@@ -46,17 +46,19 @@
         self.pools: dict[str, _Pool] = {}
         self.stats: dict[str, EndpointStats] = {}
 
-    def of(self, work: Work) -> list[str]:
+    def names_for(self, work: Work) -> list[str]:
         """Returns names of all endpoints for a call, as last read."""
         now = asyncio.get_running_loop().time()
         if work.group not in self.pools and not self._is_served(work):
             return []
         pool = self._pool(work.group)
         size = len(pool.names)
-        age = now - pool.read_at
-        wait = min(max(size / 1000, _LEAST_READ_SECONDS), _MOST_READ_SECONDS)
-        if age >= wait or not any(map(self._open, pool.names[:_ALL])):
-            self._read(pool, work, now)
+        age = now - pool.refreshed_at
+        wait = min(max(size / 1000, _MIN_REFRESH_SECONDS), _MAX_REFRESH_SECONDS)
+        if age >= wait or not any(
+            map(self._open_state, pool.names[:_COMPARE_ALL_LIMIT])
+        ):
+            self._refresh(pool, work, now)
         return pool.names
 
     def _is_served(self, work: Work) -> bool:
@@ -74,15 +76,15 @@
             pool = self.pools[group] = _Pool()
         return pool
 
-    def _read(self, pool: _Pool, work: Work, now: float) -> None:
+    def _refresh(self, pool: _Pool, work: Work, now: float) -> None:
         found = (
             self.table.engines(work.model)
             if work.model
             else self.table.services(work.service)
         )
         names = [state.endpoint.name for state in found]
-        pool.read_at = now
-        if len(self.stats) > 2 * len(self.table.states) + _ALL:
+        pool.refreshed_at = now
+        if len(self.stats) > 2 * len(self.table.states) + _COMPARE_ALL_LIMIT:
             # Endpoints are replaced all the time; what is known of those
             # that have gone would pile up for as long as the process lives.
             self.stats = {
@@ -94,7 +96,7 @@
             pool.names = names
             pool.ring.update(set(names))
 
-    def fleet(self, group: str) -> Speed:
+    def fleet(self, group: str) -> SpeedEstimate:
         """Returns the speed of all endpoints of a group taken together."""
         return self._pool(group).fleet
 
@@ -103,27 +105,27 @@
         name = state.endpoint.name
         stats = self.stats.get(name)
         if stats is None:
-            stats = self.stats[name] = EndpointStats(FIRST_LIMIT)
+            stats = self.stats[name] = EndpointStats(INITIAL_LIMIT)
         return stats
 
     def homes(self, group: str, digest: bytes, count: int) -> list[str]:
         """Returns the home endpoints of a prefix."""
         return self._pool(group).ring.homes(digest, count)
 
-    def pick(self, work: Work, held: Iterable[str]) -> list[EndpointState]:
+    def select(self, work: Work, cached: Iterable[str]) -> list[EndpointState]:
         """Returns the endpoints to compare; untried ones if there are any."""
-        names = self.of(work)
-        if len(names) > _ALL:
-            sample = self.rng.sample(names, _SAMPLE)
-            names = list(dict.fromkeys([*held, *sample]))
-        found = [s for name in names if (s := self._open(name))]
+        names = self.names_for(work)
+        if len(names) > _COMPARE_ALL_LIMIT:
+            sample = self.rng.sample(names, _SAMPLE_SIZE)
+            names = list(dict.fromkeys([*cached, *sample]))
+        found = [s for name in names if (s := self._open_state(name))]
         untried = [s for s in found if s.endpoint.name not in work.tried]
         return untried or found
 
-    def _open(self, name: str) -> EndpointState | None:
+    def _open_state(self, name: str) -> EndpointState | None:
         """Returns an endpoint if it may take work at this moment."""
         state = self.table.states.get(name)
         if state is None or name in self.table.drained:
             return None
         now = asyncio.get_running_loop().time()
-        return state if state.takes_work(now) else None
+        return state if state.accepts_work(now) else None
--- a/libs/policy/src/rattanmill_policy/choosing.py
+++ b/libs/policy/src/rattanmill_policy/choosing.py
@@ -2,15 +2,20 @@
 
 import msgspec
 
-from rattanmill_policy.knowledge import Knowledge
-from rattanmill_policy.placement import Call, Estimate, cache_price, estimate
-from rattanmill_policy.prefixes import Holding, home_prefix
+from rattanmill_policy.knowledge import SchedulerState
+from rattanmill_policy.placement import (
+    Estimate,
+    PlacementRequest,
+    cache_price,
+    estimate,
+)
+from rattanmill_policy.prefixes import CachedPrefix, home_prefix
 from rattanmill_policy.speeds import EndpointStats
 from rattanmill_policy.table import EndpointState
 from rattanmill_policy.work import Work
 
-_HOMES = 2
-_FIRST_OUTPUT = 64.0
+_HOME_COUNT = 2
+_DEFAULT_OUTPUT_TOKENS = 64.0
 
 
 class Choice(msgspec.Struct):
@@ -23,78 +28,102 @@
     state: EndpointState
     stats: EndpointStats
     estimate: Estimate
-    holding: Holding | None
+    cached_prefix: CachedPrefix | None
 
     @property
-    def by(self) -> str:
+    def reason(self) -> str:
         """What spoke for it, for the counters."""
-        if self.holding is None:
+        if self.cached_prefix is None:
             return "speed"
-        return "cache" if self.holding.since else "home"
+        return "cache" if self.cached_prefix.last_used else "home"
 
 
-def choose(known: Knowledge, work: Work, now: float) -> Choice | None:
+def choose(
+    scheduler_state: SchedulerState, work: Work, now: float
+) -> Choice | None:
     """Returns the best endpoint now, whether or not it has a free place.
 
     None if no endpoint takes work.
     """
-    held = held_prefixes(known, work)
-    states = known.candidates.pick(work, held)
+    cached = cached_prefixes(scheduler_state, work)
+    states = scheduler_state.candidates.select(work, cached)
     if not states:
         return None
-    call = _call(known, work, held, now)
+    request = _placement_request(scheduler_state, work, cached, now)
     choices = [
-        _rate(known, work, call, state, held.get(state.endpoint.name), now)
+        _evaluate(
+            scheduler_state,
+            work,
+            request,
+            state,
+            cached.get(state.endpoint.name),
+            now,
+        )
         for state in states
     ]
     return min(choices, key=lambda choice: choice.estimate.cost)
 
 
-def held_prefixes(known: Knowledge, work: Work) -> dict[str, Holding]:
+def cached_prefixes(
+    scheduler_state: SchedulerState, work: Work
+) -> dict[str, CachedPrefix]:
     """Returns what endpoints should have cached of a prompt.
 
     What this instance sent where; for the rest, prefixes are taken to be at
     home, as the other instances place by the same homes.
     """
-    if not known.rules.prefixes or not work.model:
+    if not scheduler_state.rules.prefixes or not work.model:
         return {}
-    held = known.prefixes.find(work)
+    cached = scheduler_state.prefixes.find(work)
     home = home_prefix(work)
-    if home is None or (held and work.turn > 1):
-        return held
+    if home is None or (cached and work.turn > 1):
+        return cached
     digest, tokens = home
-    guess = int(tokens * known.prefixes.guess)
-    for name in known.candidates.homes(work.group, digest, _HOMES):
-        if name not in held and guess:
-            held[name] = Holding(guess, 0.0)
-        guess //= 2
-    return held
-
-
-def _call(
-    known: Knowledge, work: Work, held: dict[str, Holding], now: float
-) -> Call:
-    shape = known.admission.of(known.class_name(work)).shape
-    age = now - known.use_of(work, now).began
-    return Call(
+    expected_tokens = int(tokens * scheduler_state.prefixes.home_hit_rate)
+    for name in scheduler_state.candidates.homes(
+        work.group, digest, _HOME_COUNT
+    ):
+        if name not in cached and expected_tokens:
+            cached[name] = CachedPrefix(expected_tokens, 0.0)
+        expected_tokens //= 2
+    return cached
+
+
+def _placement_request(
+    scheduler_state: SchedulerState,
+    work: Work,
+    cached: dict[str, CachedPrefix],
+    now: float,
+) -> PlacementRequest:
+    profile = scheduler_state.admission.class_state(
+        scheduler_state.class_name(work)
+    ).profile
+    age = now - scheduler_state.usage_of(work, now).started_at
+    return PlacementRequest(
         work.prompt_tokens,
-        min(shape.output or _FIRST_OUTPUT, work.output_tokens or 1),
-        max((holding.tokens for holding in held.values()), default=0),
-        cache_price(known.class_of(work), age),
+        min(
+            profile.output or _DEFAULT_OUTPUT_TOKENS,
+            work.max_output_tokens or 1,
+        ),
+        max(
+            (cached_prefix.tokens for cached_prefix in cached.values()),
+            default=0,
+        ),
+        cache_price(scheduler_state.class_of(work), age),
         bool(work.model),
     )
 
 
-def _rate(
-    known: Knowledge,
+def _evaluate(
+    scheduler_state: SchedulerState,
     work: Work,
-    call: Call,
+    request: PlacementRequest,
     state: EndpointState,
-    holding: Holding | None,
+    cached_prefix: CachedPrefix | None,
     now: float,
 ) -> Choice:
-    stats = known.candidates.stats_of(state)
-    speed = known.pace_of(work, stats, now)
-    cached = holding.tokens if holding else 0
-    found = estimate(stats, speed, state.in_flight, call, cached, now)
-    return Choice(state, stats, found, holding)
+    stats = scheduler_state.candidates.stats_of(state)
+    speed = scheduler_state.speeds_of(work, stats, now)
+    cached_tokens = cached_prefix.tokens if cached_prefix else 0
+    found = estimate(stats, speed, state.in_flight, request, cached_tokens, now)
+    return Choice(state, stats, found, cached_prefix)
--- a/libs/policy/src/rattanmill_policy/fairness.py
+++ b/libs/policy/src/rattanmill_policy/fairness.py
@@ -4,9 +4,9 @@
 import math
 
 _DECAY_SECONDS = 20.0
-_MOST_WORKSPACES = 2000
-_COUNT_SECONDS = 0.5
-_ACTIVE_SHARE = 0.02
+_MAX_WORKSPACES = 2000
+_RECOUNT_SECONDS = 0.5
+_MIN_ACTIVE_SHARE = 0.02
 
 
 class WorkspaceShares:
@@ -17,37 +17,42 @@
     """
 
     def __init__(self) -> None:
-        self.used: collections.OrderedDict[str, tuple[float, float]] = (
+        self.usage: collections.OrderedDict[str, tuple[float, float]] = (
             collections.OrderedDict()
         )
-        self.even = 0.0
-        self.counted = -math.inf
-        self.several = False
+        self.fair_share = 0.0
+        self.counted_at = -math.inf
+        self.has_several_active = False
 
     def charge(self, workspace: str, seconds: float, now: float) -> None:
         """Notes service given to a workspace."""
-        self.used[workspace] = (self._used(workspace, now) + seconds, now)
-        self.used.move_to_end(workspace)
-        while len(self.used) > _MOST_WORKSPACES:
-            self.used.popitem(last=False)
+        self.usage[workspace] = (
+            self._decayed_usage(workspace, now) + seconds,
+            now,
+        )
+        self.usage.move_to_end(workspace)
+        while len(self.usage) > _MAX_WORKSPACES:
+            self.usage.popitem(last=False)
 
     def excess(self, workspace: str, now: float) -> float:
         """Returns use beyond the even share, in even shares; 0 if within."""
-        self._count(now)
-        if not self.several or self.even <= 0:
+        self._recount(now)
+        if not self.has_several_active or self.fair_share <= 0:
             return 0.0
-        return max(0.0, self._used(workspace, now) / self.even - 1)
+        return max(
+            0.0, self._decayed_usage(workspace, now) / self.fair_share - 1
+        )
 
-    def _used(self, workspace: str, now: float) -> float:
-        used, at = self.used.get(workspace, (0.0, now))
+    def _decayed_usage(self, workspace: str, now: float) -> float:
+        used, at = self.usage.get(workspace, (0.0, now))
         return used * math.exp((at - now) / _DECAY_SECONDS)
 
-    def _count(self, now: float) -> None:
-        if now - self.counted < _COUNT_SECONDS:
+    def _recount(self, now: float) -> None:
+        if now - self.counted_at < _RECOUNT_SECONDS:
             return
-        self.counted = now
-        uses = [self._used(name, now) for name in self.used]
+        self.counted_at = now
+        uses = [self._decayed_usage(name, now) for name in self.usage]
         total = sum(uses)
-        active = sum(use > _ACTIVE_SHARE * total for use in uses)
-        self.several = active > 1
-        self.even = total / active if active else 0.0
+        active = sum(use > _MIN_ACTIVE_SHARE * total for use in uses)
+        self.has_several_active = active > 1
+        self.fair_share = total / active if active else 0.0
--- a/libs/policy/src/rattanmill_policy/health.py
+++ b/libs/policy/src/rattanmill_policy/health.py
@@ -14,8 +14,8 @@
 
 from rattanmill_core import Aspect, EndpointNote, Sign
 
-_FIRST_HOLD_SECONDS = {Aspect.DEPARTURE: 5.0, Aspect.REACH: 1.0}
-_MOST_HOLD_SECONDS = 120.0
+_INITIAL_HOLD_SECONDS = {Aspect.DEPARTURE: 5.0, Aspect.REACH: 1.0}
+_MAX_HOLD_SECONDS = 120.0
 _RELAPSE_SECONDS = 30.0
 _RAMP_STEP_SECONDS = 1.0
 _RAMP_STEPS = 6
@@ -47,7 +47,7 @@
     draining: bool = False
 
 
-class Mark:
+class AspectState:
     """One aspect of one endpoint.
 
     Attributes:
@@ -66,8 +66,8 @@
         self.closed = False
         self.sign = Sign.RETURNED
         self.changed_at = float("-inf")
-        self.hold_seconds = _FIRST_HOLD_SECONDS[aspect]
-        self.good_since: float | None = None
+        self.hold_seconds = _INITIAL_HOLD_SECONDS[aspect]
+        self.healthy_since: float | None = None
 
     def close(self, sign: Sign, now: float) -> bool:
         """Keeps new work away; False if it did so already."""
@@ -77,7 +77,7 @@
         """Lets work in again; False if it was open."""
         return self.closed and self._change(False, Sign.RETURNED, now)
 
-    def take(self, note: EndpointNote, now: float) -> bool:
+    def merge(self, note: EndpointNote, now: float) -> bool:
         """Takes what another instance saw; True if that changes the state.
 
         At the same generation closed wins: two instances that changed it at
@@ -93,19 +93,19 @@
         self.generation = note.generation
         self.sign = note.sign
         if changed:
-            self._turn(note.closed, now)
+            self._set_closed(note.closed, now)
         return changed
 
-    def probed(self, good: bool, now: float) -> bool:
+    def record_probe(self, healthy: bool, now: float) -> bool:
         """Learns of a probe; True if it has been good for long enough."""
-        if not good:
-            self.good_since = None
+        if not healthy:
+            self.healthy_since = None
             return False
-        if self.good_since is None:
-            self.good_since = now
-        return self.closed and now - self.good_since >= self.hold_seconds
+        if self.healthy_since is None:
+            self.healthy_since = now
+        return self.closed and now - self.healthy_since >= self.hold_seconds
 
-    def limit(self, now: float) -> int | None:
+    def ramp_limit(self, now: float) -> int | None:
         """Most calls at a time after a return; None if there is no limit.
 
         An endpoint that comes back is cold and may fail again: all work that
@@ -117,20 +117,20 @@
     def _change(self, closed: bool, sign: Sign, now: float) -> bool:
         self.generation = max(self.generation + 1, int(time.time() * 1000))
         self.sign = sign
-        self._turn(closed, now)
+        self._set_closed(closed, now)
         return True
 
-    def _turn(self, closed: bool, now: float) -> None:
+    def _set_closed(self, closed: bool, now: float) -> None:
         if closed:
-            first = _FIRST_HOLD_SECONDS[self.aspect]
+            first = _INITIAL_HOLD_SECONDS[self.aspect]
             relapsed = now - self.changed_at < _RELAPSE_SECONDS
-            longer = min(self.hold_seconds * 2, _MOST_HOLD_SECONDS)
+            longer = min(self.hold_seconds * 2, _MAX_HOLD_SECONDS)
             self.hold_seconds = longer if relapsed else first
         self.closed = closed
         self.changed_at = now
-        self.good_since = None
+        self.healthy_since = None
 
-    def note(self, endpoint: str) -> EndpointNote:
+    def to_note(self, endpoint: str) -> EndpointNote:
         """Returns what other instances should know."""
         return EndpointNote(
             endpoint, self.aspect, self.generation, self.closed, self.sign
--- a/libs/policy/src/rattanmill_policy/knowledge.py
+++ b/libs/policy/src/rattanmill_policy/knowledge.py
@@ -10,9 +10,9 @@
 from rattanmill_policy.candidates import Candidates
 from rattanmill_policy.fairness import WorkspaceShares
 from rattanmill_policy.prefixes import PrefixMap
-from rattanmill_policy.queueing import ProgramUse, ProgramUses, Waiter
+from rattanmill_policy.queueing import ProgramUsage, ProgramUsageTable, Waiter
 from rattanmill_policy.retries import RetryBudget
-from rattanmill_policy.speeds import EndpointStats, Pace, pace
+from rattanmill_policy.speeds import BlendedSpeed, EndpointStats, blend_speed
 from rattanmill_policy.table import EndpointTable
 from rattanmill_policy.work import Work
 
@@ -39,7 +39,7 @@
     budget: bool = True
 
 
-class Group:
+class EndpointGroup:
     """What is served by the same endpoints.
 
     Attributes:
@@ -50,11 +50,11 @@
 
     def __init__(self) -> None:
         self.waiting: list[Waiter] = []
-        self.finished = Rate()
+        self.completions = Rate()
         self.permits = Permits()
 
 
-class Knowledge:
+class SchedulerState:
     """State of the scheduler, and simple questions to it.
 
     Args:
@@ -77,28 +77,28 @@
         self.candidates = Candidates(table, rng)
         self.admission = Admission(rng)
         self.prefixes = PrefixMap()
-        self.programs = ProgramUses()
+        self.programs = ProgramUsageTable()
         self.shares = WorkspaceShares()
-        self.budget = RetryBudget()
-        self.groups: dict[str, Group] = {}
+        self.retry_budget = RetryBudget()
+        self.groups: dict[str, EndpointGroup] = {}
 
     def class_name(self, work: Work) -> str:
         """Returns the class of a call; the default if it has gone."""
         document = self.config()
-        known = work.klass in document.classes
-        return work.klass if known else document.default_class
+        is_known = work.klass in document.classes
+        return work.klass if is_known else document.default_class
 
     def class_of(self, work: Work) -> WorkClass:
         """Returns the targets of a call's class, as in force now."""
         return self.config().classes[self.class_name(work)]
 
-    def group_of(self, work: Work) -> Group:
+    def group_of(self, work: Work) -> EndpointGroup:
         """Returns what a call waits with."""
-        return self.groups.setdefault(work.group, Group())
+        return self.groups.setdefault(work.group, EndpointGroup())
 
-    def use_of(self, work: Work, now: float) -> ProgramUse:
+    def usage_of(self, work: Work, now: float) -> ProgramUsage:
         """Returns what a call's program has had."""
-        return self.programs.of(work, now)
+        return self.programs.usage_of(work, now)
 
     def excess(self, work: Work, now: float) -> float:
         """Returns what its workspace uses beyond its share, in shares."""
@@ -106,8 +106,10 @@
             return 0.0
         return self.shares.excess(work.workspace, now)
 
-    def pace_of(self, work: Work, stats: EndpointStats, now: float) -> Pace:
+    def speeds_of(
+        self, work: Work, stats: EndpointStats, now: float
+    ) -> BlendedSpeed:
         """Returns the speeds of an endpoint."""
         fleet = self.candidates.fleet(work.group)
         own = stats.speed if self.rules.speeds else fleet
-        return pace(own, fleet, now)
+        return blend_speed(own, fleet, now)
--- a/libs/policy/src/rattanmill_policy/pinning.py
+++ b/libs/policy/src/rattanmill_policy/pinning.py
@@ -4,16 +4,16 @@
 
 from rattanmill_policy.table import EndpointState
 
-_LEAST_TOKENS = 64
-_LEAST_ROOM_TOKENS = 20_000
-_MOST_SHARE = 0.5
-_GROWTH = 1.25
-_FIRST_PAUSE_SECONDS = 15.0
-_MOST_PAUSE_SECONDS = 120.0
-_WEIGHT = 0.3
+_MIN_PIN_TOKENS = 64
+_MIN_ROOM_TOKENS = 20_000
+_MAX_CACHE_SHARE = 0.5
+_REPIN_GROWTH = 1.25
+_INITIAL_PAUSE_SECONDS = 15.0
+_MAX_PAUSE_SECONDS = 120.0
+_PAUSE_EWMA_WEIGHT = 0.3
 # A pin is dropped when a pause has lasted so many times what was expected.
-_PATIENCE = 4.0
-_LEAST_PIN_SECONDS = 10.0
+_PIN_PAUSE_FACTOR = 4.0
+_MIN_PIN_SECONDS = 10.0
 
 
 class Pin(msgspec.Struct):
@@ -25,10 +25,10 @@
     """
 
     tokens: int
-    until: float
+    expires_at: float
 
 
-class Pinned(msgspec.Struct):
+class ProgramPins(msgspec.Struct):
     """What is known of one program's pauses and pins.
 
     Attributes:
@@ -39,24 +39,28 @@
 
     pins: dict[str, Pin] = msgspec.field(default_factory=dict)
     paused_at: float | None = None
-    pause_seconds: float = _FIRST_PAUSE_SECONDS
+    expected_pause_seconds: float = _INITIAL_PAUSE_SECONDS
 
-    def returned(self, now: float) -> None:
+    def end_pause(self, now: float) -> None:
         """Learns from the pause that ends now."""
         if self.paused_at is not None:
-            seen = now - self.paused_at
-            self.pause_seconds += _WEIGHT * (seen - self.pause_seconds)
+            observed = now - self.paused_at
+            self.expected_pause_seconds += _PAUSE_EWMA_WEIGHT * (
+                observed - self.expected_pause_seconds
+            )
             self.paused_at = None
 
-    def deadline(self, now: float) -> float:
+    def pin_deadline(self, now: float) -> float:
         """Returns when a pin that is useful now is dropped."""
-        wait = max(_LEAST_PIN_SECONDS, _PATIENCE * self.pause_seconds)
+        wait = max(
+            _MIN_PIN_SECONDS, _PIN_PAUSE_FACTOR * self.expected_pause_seconds
+        )
         return now + wait
 
-    def is_worth_keeping(self, tokens: int) -> bool:
+    def should_pin(self, tokens: int) -> bool:
         """Whether the program should be back soon enough with enough."""
-        soon = self.pause_seconds <= _MOST_PAUSE_SECONDS
-        return soon and tokens >= _LEAST_TOKENS
+        soon = self.expected_pause_seconds <= _MAX_PAUSE_SECONDS
+        return soon and tokens >= _MIN_PIN_TOKENS
 
     def covers(self, engine: str, tokens: int) -> bool:
         """Whether a pin there has most of a prompt.
@@ -66,18 +70,18 @@
         the length of the conversation.
         """
         pin = self.pins.get(engine)
-        return pin is not None and tokens < pin.tokens * _GROWTH
+        return pin is not None and tokens < pin.tokens * _REPIN_GROWTH
 
 
-def has_room(state: EndpointState, tokens: int, ours: int) -> bool:
+def has_room(state: EndpointState, tokens: int, own_tokens: int) -> bool:
     """Whether an engine can keep more without starving other prompts.
 
     Args:
         state: The engine.
         tokens: Tokens to keep.
-        ours: Tokens this instance keeps there already.
+        own_tokens: Tokens this instance keeps there already.
     """
     load = state.load
-    held = max(ours, load.pinned_tokens if load else 0)
-    most = max(_LEAST_ROOM_TOKENS, _MOST_SHARE * state.cache_tokens_seen)
-    return held + tokens <= most
+    pinned_tokens = max(own_tokens, load.pinned_tokens if load else 0)
+    limit = max(_MIN_ROOM_TOKENS, _MAX_CACHE_SHARE * state.max_cache_tokens)
+    return pinned_tokens + tokens <= limit
--- a/libs/policy/src/rattanmill_policy/placement.py
+++ b/libs/policy/src/rattanmill_policy/placement.py
@@ -8,10 +8,10 @@
 import msgspec
 
 from rattanmill_core import WorkClass
-from rattanmill_policy.speeds import EndpointStats, Pace
+from rattanmill_policy.speeds import BlendedSpeed, EndpointStats
 
 
-class Call(msgspec.Struct):
+class PlacementRequest(msgspec.Struct):
     """A call as placement sees it.
 
     Attributes:
@@ -24,7 +24,7 @@
 
     prompt_tokens: int
     output_tokens: float
-    best_cached: int
+    max_cached_tokens: int
     cache_price: float
     is_chat: bool
 
@@ -63,36 +63,38 @@
 
 def estimate(
     stats: EndpointStats,
-    speed: Pace,
+    speed: BlendedSpeed,
     in_flight: int,
-    call: Call,
-    cached: int,
+    request: PlacementRequest,
+    cached_tokens: int,
     now: float,
 ) -> Estimate:
     """Returns what a call would cost at one endpoint."""
-    if not call.is_chat:
+    if not request.is_chat:
         wait = in_flight * speed.call
-        overdue = stats.overdue(now)
+        overdue = stats.overdue_factor(now)
         return Estimate(
             wait * overdue, speed.call * overdue, (wait + speed.call) * overdue
         )
-    cached = min(cached, call.prompt_tokens)
-    uncached = call.prompt_tokens - cached
-    run = uncached * speed.prefill + call.output_tokens * speed.decode
+    cached_tokens = min(cached_tokens, request.prompt_tokens)
+    uncached_tokens = request.prompt_tokens - cached_tokens
+    run = uncached_tokens * speed.prefill + request.output_tokens * speed.decode
     # Calls that are there share its prefill and decode with this one; until
     # its slots are full that is in the measured speed already.
-    there = in_flight + stats.others
+    active = in_flight + stats.others
     slots = stats.slots or max(1.0, stats.limit)
-    wait = max(0.0, there + 1 - slots) / slots * run
+    wait = max(0.0, active + 1 - slots) / slots * run
     # Beyond our own limit a call waits here. If that counted as no wait, a
     # full endpoint would look as good as a free one, and calls would queue
     # for it while others idle.
-    own = max(0.0, in_flight + 1 - stats.limit) / stats.limit * run
-    wait = max(wait, own)
+    own_wait = max(0.0, in_flight + 1 - stats.limit) / stats.limit * run
+    wait = max(wait, own_wait)
     # Among endpoints with free slots the emptier one finishes sooner.
-    crowding = 1 + 0.25 * min(1.0, there / slots)
-    overdue = stats.overdue(now)
-    lost = max(0, call.best_cached - cached) * speed.prefill
+    crowding = 1 + 0.25 * min(1.0, active / slots)
+    overdue = stats.overdue_factor(now)
+    recompute = (
+        max(0, request.max_cached_tokens - cached_tokens) * speed.prefill
+    )
     run *= crowding * overdue
     wait *= overdue
-    return Estimate(wait, run, wait + run + lost * call.cache_price)
+    return Estimate(wait, run, wait + run + recompute * request.cache_price)
--- a/libs/policy/src/rattanmill_policy/prefixes.py
+++ b/libs/policy/src/rattanmill_policy/prefixes.py
@@ -10,15 +10,15 @@
 
 from rattanmill_policy.work import Work
 
-_MOST_PREFIXES = 50_000
-_FIRST = 4
-_LAST = 4
-_ENOUGH_HOLDERS = 4
-_STEP = 0.1
-_LEAST_GUESS = 0.1
+_MAX_PREFIXES = 50_000
+_LEADING_PREFIXES = 4
+_TRAILING_PREFIXES = 4
+_MAX_HOLDERS = 4
+_EWMA_WEIGHT = 0.1
+_MIN_HOME_HIT_RATE = 0.1
 
 
-class Holding(msgspec.Struct):
+class CachedPrefix(msgspec.Struct):
     """A prefix held by an endpoint.
 
     Attributes:
@@ -27,7 +27,7 @@
     """
 
     tokens: int
-    since: float
+    last_used: float
 
 
 class PrefixMap:
@@ -48,58 +48,64 @@
         self.holders: collections.OrderedDict[bytes, dict[str, float]] = (
             collections.OrderedDict()
         )
-        self.dropped: dict[str, float] = {}
-        self.guess = 1.0
+        self.evicted_until: dict[str, float] = {}
+        self.home_hit_rate = 1.0
 
-    def find(self, work: Work) -> dict[str, Holding]:
+    def find(self, work: Work) -> dict[str, CachedPrefix]:
         """Returns the longest prefix known at each of a few endpoints."""
-        found: dict[str, Holding] = {}
+        found: dict[str, CachedPrefix] = {}
         tokens = sum(tokens for _, tokens in work.prefixes)
         for digest, own in reversed(work.prefixes):
             for name, used in self.holders.get(digest, {}).items():
-                if name in found or used <= self.dropped.get(name, 0.0):
+                if name in found or used <= self.evicted_until.get(name, 0.0):
                     continue
-                found[name] = Holding(tokens, used)
-            if len(found) >= _ENOUGH_HOLDERS:
+                found[name] = CachedPrefix(tokens, used)
+            if len(found) >= _MAX_HOLDERS:
                 break
             tokens -= own
         return found
 
-    def sent(self, work: Work, name: str, now: float) -> None:
+    def record_prompt(self, work: Work, name: str, now: float) -> None:
         """Notes that an endpoint gets a prompt and so has its prefixes."""
         kept = itertools.chain(
-            work.prefixes[:_FIRST],
-            work.prefixes[max(_FIRST, len(work.prefixes) - _LAST) :],
+            work.prefixes[:_LEADING_PREFIXES],
+            work.prefixes[
+                max(
+                    _LEADING_PREFIXES, len(work.prefixes) - _TRAILING_PREFIXES
+                ) :
+            ],
         )
         for digest, _ in kept:
             names = self.holders.setdefault(digest, {})
             # The latest user goes last: the oldest is forgotten first.
             names.pop(name, None)
             names[name] = now
-            if len(names) > _ENOUGH_HOLDERS:
+            if len(names) > _MAX_HOLDERS:
                 del names[next(iter(names))]
             self.holders.move_to_end(digest)
-        while len(self.holders) > _MOST_PREFIXES:
+        while len(self.holders) > _MAX_PREFIXES:
             self.holders.popitem(last=False)
 
-    def answered(
-        self, name: str, expected: int, since: float, cached: int
+    def record_answer(
+        self, name: str, expected: int, last_used: float, cached: int
     ) -> None:
         """Corrects the map by what an answer says was cached."""
         if not expected:
             return
         hit = cached >= expected / 2
-        if not since:
-            self.guess += _STEP * (hit - self.guess)
-            self.guess = max(self.guess, _LEAST_GUESS)
+        if not last_used:
+            self.home_hit_rate += _EWMA_WEIGHT * (hit - self.home_hit_rate)
+            self.home_hit_rate = max(self.home_hit_rate, _MIN_HOME_HIT_RATE)
         elif not hit:
-            self.dropped[name] = max(self.dropped.get(name, 0.0), since)
-        elif since <= self.dropped.get(name, 0.0):
-            del self.dropped[name]
+            self.evicted_until[name] = max(
+                self.evicted_until.get(name, 0.0), last_used
+            )
+        elif last_used <= self.evicted_until.get(name, 0.0):
+            del self.evicted_until[name]
 
-    def forget(self, name: str, now: float) -> None:
+    def forget_endpoint(self, name: str, now: float) -> None:
         """An endpoint lost all its cache, as one that crashed does."""
-        self.dropped[name] = now
+        self.evicted_until[name] = now
 
 
 def home_prefix(work: Work) -> tuple[bytes, int] | None:
--- a/libs/policy/src/rattanmill_policy/quarantine.py
+++ b/libs/policy/src/rattanmill_policy/quarantine.py
@@ -15,15 +15,15 @@
 
 # Reports of one crash by several instances are that close together.
 _SAME_CRASH_MS = 2_000
-_CONDEMNED_MS = 3_600_000
-_SUSPECTED_MS = 24 * 3_600_000
-_MOST_SUSPECTS = 10_000
-_LEAST_CRASHES = 2
+_QUARANTINE_MS = 3_600_000
+_SUSPECT_RETENTION_MS = 24 * 3_600_000
+_MAX_SUSPECTS = 10_000
+_MIN_CRASHES = 2
 # So many crashes condemn a request, whatever was in flight beside it.
-_MOST_CRASHES = 4
+_CONCLUSIVE_CRASHES = 4
 
 
-class Suspicion(msgspec.Struct):
+class Suspect(msgspec.Struct):
     """What is held against one request.
 
     Attributes:
@@ -34,10 +34,10 @@
 
     crashes: list[CrashNote] = msgspec.field(default_factory=list)
     cleared_at: int = 0
-    condemned: bool = False
+    quarantined: bool = False
 
     @property
-    def last(self) -> int:
+    def last_event_at(self) -> int:
         """Time of the last event."""
         return max([self.cleared_at, *(c.at for c in self.crashes)])
 
@@ -52,66 +52,66 @@
 
     def __init__(
         self,
-        least_crashes: int = _LEAST_CRASHES,
-        condemned_ms: int = _CONDEMNED_MS,
+        min_crashes: int = _MIN_CRASHES,
+        quarantine_ms: int = _QUARANTINE_MS,
     ) -> None:
-        self.least_crashes = least_crashes
-        self.condemned_ms = condemned_ms
-        self.suspicions: dict[bytes, Suspicion] = {}
+        self.min_crashes = min_crashes
+        self.quarantine_ms = quarantine_ms
+        self.suspects: dict[bytes, Suspect] = {}
 
-    def take(self, note: CrashNote) -> bool:
+    def record(self, note: CrashNote) -> bool:
         """Takes a crash or a finished run; True if it was news."""
-        known = self.suspicions.get(note.fingerprint)
-        if known is None:
+        suspect = self.suspects.get(note.fingerprint)
+        if suspect is None:
             self._make_room()
-            known = Suspicion()
-            self.suspicions[note.fingerprint] = known
+            suspect = Suspect()
+            self.suspects[note.fingerprint] = suspect
         if not note.endpoint:
-            return _clear(known, note.at)
-        if note.at <= known.cleared_at:
+            return _clear(suspect, note.at)
+        if note.at <= suspect.cleared_at:
             return False
-        if any(is_same_crash(note, crash) for crash in known.crashes):
+        if any(is_same_crash(note, crash) for crash in suspect.crashes):
             return False
-        known.crashes.append(note)
-        known.crashes.sort(key=lambda crash: crash.at)
+        suspect.crashes.append(note)
+        suspect.crashes.sort(key=lambda crash: crash.at)
         return True
 
     def is_suspected(self, fingerprint: bytes) -> bool:
         """Whether an endpoint crashed with this request in flight."""
-        known = self._fresh(fingerprint)
-        return known is not None and bool(known.crashes)
+        suspect = self._fresh(fingerprint)
+        return suspect is not None and bool(suspect.crashes)
 
-    def is_condemned(self, fingerprint: bytes) -> bool:
+    def is_quarantined(self, fingerprint: bytes) -> bool:
         """Whether the request must not run.
 
         That ends some time after the last crash. The request is still
         suspected for a day, so that its next crash condemns it at once.
         """
-        known = self._fresh(fingerprint)
-        if known is None or len(known.crashes) < self.least_crashes:
+        suspect = self._fresh(fingerprint)
+        if suspect is None or len(suspect.crashes) < self.min_crashes:
             return False
-        if _now_ms() - known.crashes[-1].at > self.condemned_ms:
+        if _now_ms() - suspect.crashes[-1].at > self.quarantine_ms:
             return False
         # Kept, since a storm of repeats must not search all suspects each.
-        known.condemned = (
-            known.condemned
-            or len(known.crashes) >= _MOST_CRASHES
-            or any(self._suspects_at(c) == 1 for c in known.crashes[1:])
+        suspect.quarantined = (
+            suspect.quarantined
+            or len(suspect.crashes) >= _CONCLUSIVE_CRASHES
+            or any(self._suspects_at(c) == 1 for c in suspect.crashes[1:])
         )
-        return known.condemned
+        return suspect.quarantined
 
-    def place_of(self, fingerprint: bytes) -> int:
+    def retry_position(self, fingerprint: bytes) -> int:
         """Returns how many suspects of the same crash run again before it.
 
         All instances come to the same order without asking each other.
         """
-        known = self._fresh(fingerprint)
-        if known is None or not known.crashes:
+        suspect = self._fresh(fingerprint)
+        if suspect is None or not suspect.crashes:
             return 0
-        last = known.crashes[-1]
+        last = suspect.crashes[-1]
         requests = {
             crash.request
-            for other in self.suspicions.values()
+            for other in self.suspects.values()
             for crash in other.crashes
             if is_same_crash(last, crash)
         }
@@ -121,8 +121,8 @@
         """Returns what is held, the newest ``most`` events."""
         events = [
             event
-            for fingerprint, known in self.suspicions.items()
-            for event in _events(fingerprint, known)
+            for fingerprint, suspect in self.suspects.items()
+            for event in _events(fingerprint, suspect)
         ]
         return sorted(events, key=lambda event: event.at)[-most:]
 
@@ -131,27 +131,30 @@
         return len(
             {
                 other.request
-                for known in self.suspicions.values()
-                for other in known.crashes[1:]
+                for suspect in self.suspects.values()
+                for other in suspect.crashes[1:]
                 if is_same_crash(crash, other)
             }
         )
 
-    def _fresh(self, fingerprint: bytes) -> Suspicion | None:
-        known = self.suspicions.get(fingerprint)
-        if known and _now_ms() - known.last > _SUSPECTED_MS:
-            del self.suspicions[fingerprint]
+    def _fresh(self, fingerprint: bytes) -> Suspect | None:
+        suspect = self.suspects.get(fingerprint)
+        if (
+            suspect
+            and _now_ms() - suspect.last_event_at > _SUSPECT_RETENTION_MS
+        ):
+            del self.suspects[fingerprint]
             return None
-        return known
+        return suspect
 
     def _make_room(self) -> None:
-        if len(self.suspicions) >= _MOST_SUSPECTS:
+        if len(self.suspects) >= _MAX_SUSPECTS:
             # Many at a time: to search for the oldest takes long.
             by_age = sorted(
-                self.suspicions, key=lambda key: self.suspicions[key].last
+                self.suspects, key=lambda key: self.suspects[key].last_event_at
             )
-            for fingerprint in by_age[: _MOST_SUSPECTS // 10]:
-                del self.suspicions[fingerprint]
+            for fingerprint in by_age[: _MAX_SUSPECTS // 10]:
+                del self.suspects[fingerprint]
 
 
 def is_same_crash(one: CrashNote, other: CrashNote) -> bool:
@@ -160,19 +163,22 @@
     return near and one.endpoint == other.endpoint
 
 
-def _clear(known: Suspicion, at: int) -> bool:
-    if at <= known.cleared_at:
+def _clear(suspect: Suspect, at: int) -> bool:
+    if at <= suspect.cleared_at:
         return False
-    known.cleared_at = at
-    known.crashes = [crash for crash in known.crashes if crash.at > at]
-    known.condemned = False
+    suspect.cleared_at = at
+    suspect.crashes = [crash for crash in suspect.crashes if crash.at > at]
+    suspect.quarantined = False
     return True
 
 
-def _events(fingerprint: bytes, known: Suspicion) -> list[CrashNote]:
-    if known.cleared_at:
-        return [CrashNote(fingerprint, "", known.cleared_at), *known.crashes]
-    return known.crashes
+def _events(fingerprint: bytes, suspect: Suspect) -> list[CrashNote]:
+    if suspect.cleared_at:
+        return [
+            CrashNote(fingerprint, "", suspect.cleared_at),
+            *suspect.crashes,
+        ]
+    return suspect.crashes
 
 
 def _now_ms() -> int:
--- a/libs/policy/src/rattanmill_policy/queueing.py
+++ b/libs/policy/src/rattanmill_policy/queueing.py
@@ -8,10 +8,10 @@
 
 from rattanmill_policy.work import Work
 
-_MOST_PROGRAMS = 20_000
-_DEADLINE_STEPS = 8
-_MOST_EXCESS = 3.0
-_PRIORITY_STEPS = 10
+_MAX_PROGRAMS = 20_000
+_DEADLINE_STEPS_PER_TARGET = 8
+_MAX_EXCESS_SHARES = 3.0
+_PRIORITY_STEPS_PER_SECOND = 10
 
 
 class Waiter(msgspec.Struct, eq=False):
@@ -25,10 +25,10 @@
 
     deadline: float
     work: Work
-    place: asyncio.Future
+    placement: asyncio.Future
 
 
-class ProgramUse(msgspec.Struct):
+class ProgramUsage(msgspec.Struct):
     """What a program and its sub-agents have had so far.
 
     Attributes:
@@ -40,13 +40,13 @@
     """
 
     root: str
-    began: float
+    started_at: float
     attained: float = 0.0
     calls: int = 0
-    last_end: float = 0.0
+    last_call_ended_at: float = 0.0
 
 
-class ProgramUses:
+class ProgramUsageTable:
     """Use by program; sub-agents count for their parent.
 
     Without that, a program could split itself into sub-agents, each of
@@ -54,23 +54,23 @@
     """
 
     def __init__(self) -> None:
-        self.uses: collections.OrderedDict[str, ProgramUse] = (
+        self.usages: collections.OrderedDict[str, ProgramUsage] = (
             collections.OrderedDict()
         )
 
-    def of(self, work: Work, now: float) -> ProgramUse:
+    def usage_of(self, work: Work, now: float) -> ProgramUsage:
         """Returns the use that a call counts for."""
-        use = self.uses.get(work.program) or self.uses.get(work.parent)
-        if use is None:
+        usage = self.usages.get(work.program) or self.usages.get(work.parent)
+        if usage is None:
             root = work.parent or work.program
-            use = ProgramUse(root, now - work.age_seconds)
-            use.attained = work.attained_seconds
-            self.uses[root] = use
-        self.uses[work.program] = use
-        self.uses.move_to_end(work.program)
-        while len(self.uses) > _MOST_PROGRAMS:
-            self.uses.popitem(last=False)
-        return use
+            usage = ProgramUsage(root, now - work.age_seconds)
+            usage.attained = work.attained_seconds
+            self.usages[root] = usage
+        self.usages[work.program] = usage
+        self.usages.move_to_end(work.program)
+        while len(self.usages) > _MAX_PROGRAMS:
+            self.usages.popitem(last=False)
+        return usage
 
 
 def virtual_deadline(
@@ -100,20 +100,22 @@
     # these would be late in turn.
     periods = math.floor(age_seconds / target_seconds) + 1
     deadline = now - age_seconds + periods * target_seconds
-    step = target_seconds / _DEADLINE_STEPS
-    equals = math.ceil(deadline / step) * step
+    step = target_seconds / _DEADLINE_STEPS_PER_TARGET
+    rounded = math.ceil(deadline / step) * step
     # The shape is unknown: among equals, what has had the least service is
     # the likeliest to end soon.
-    least_first = step * attained_seconds / (attained_seconds + target_seconds)
-    later = min(excess, _MOST_EXCESS) * target_seconds
-    later += target_seconds if is_new else 0.0
-    return equals + least_first + later
+    service_offset = (
+        step * attained_seconds / (attained_seconds + target_seconds)
+    )
+    penalty = min(excess, _MAX_EXCESS_SHARES) * target_seconds
+    penalty += target_seconds if is_new else 0.0
+    return rounded + service_offset + penalty
 
 
-def engine_priority(deadline: float, now: float, wall: float) -> int:
+def engine_priority(deadline: float, now: float, wall_time: float) -> int:
     """Returns the priority for engines: tenths of seconds, negated.
 
     By the wall clock, so that instances' priorities compare. A wrong clock
     shifts one instance's calls and harms nothing else.
     """
-    return -int((wall + deadline - now) * _PRIORITY_STEPS)
+    return -int((wall_time + deadline - now) * _PRIORITY_STEPS_PER_SECOND)
--- a/libs/policy/src/rattanmill_policy/retries.py
+++ b/libs/policy/src/rattanmill_policy/retries.py
@@ -5,16 +5,16 @@
 from rattanmill_policy.outcome import Outcome
 from rattanmill_policy.work import Work
 
-_SHARE = 0.08
-_FIRST_TOKENS = 10.0
-_MOST_TOKENS = 10.0
-_MOST_RUNS = 3
+_RETRY_RATIO = 0.08
+_INITIAL_TOKENS = 10.0
+_MAX_TOKENS = 10.0
+_MAX_RUNS = 3
 # Endpoints that could not be reached cost a call its time only. Counted like
 # runs, three of them that are down just then would end a call that has run
 # nowhere, while the others stand idle; a caller notices a refusal.
-_MOST_TRIES = 8
-_PAUSE_SECONDS = 0.05
-_NEVER = (Outcome.REJECTED, Outcome.ABANDONED, Outcome.ANSWERED)
+_MAX_TRIES = 8
+_BASE_BACKOFF_SECONDS = 0.05
+_NOT_RETRYABLE = (Outcome.REJECTED, Outcome.ABANDONED, Outcome.ANSWERED)
 
 
 class RetryBudget:
@@ -29,30 +29,32 @@
     def __init__(self) -> None:
         self.tokens: dict[str, float] = {}
 
-    def earn(self, klass: str) -> None:
+    def deposit(self, klass: str) -> None:
         """Notes a first try."""
-        tokens = self.tokens.get(klass, _FIRST_TOKENS) + _SHARE
-        self.tokens[klass] = min(tokens, _MOST_TOKENS)
+        tokens = self.tokens.get(klass, _INITIAL_TOKENS) + _RETRY_RATIO
+        self.tokens[klass] = min(tokens, _MAX_TOKENS)
 
-    def take(self, klass: str) -> bool:
+    def try_withdraw(self, klass: str) -> bool:
         """Takes one retry; False if none is left."""
-        tokens = self.tokens.get(klass, _FIRST_TOKENS)
+        tokens = self.tokens.get(klass, _INITIAL_TOKENS)
         if tokens < 1:
             return False
         self.tokens[klass] = tokens - 1
         return True
 
 
-def is_worth_retrying(work: Work, outcome: Outcome, now: float) -> bool:
+def should_retry(work: Work, outcome: Outcome, now: float) -> bool:
     """Whether another try may help, budget aside."""
     return (
-        outcome not in _NEVER
-        and work.runs < _MOST_RUNS
-        and len(work.tried) < _MOST_TRIES
-        and work.left(now) > 0
+        outcome not in _NOT_RETRYABLE
+        and work.runs < _MAX_RUNS
+        and len(work.tried) < _MAX_TRIES
+        and work.remaining_seconds(now) > 0
     )
 
 
-def pause_seconds(tries: int, rng: random.Random) -> float:
+def backoff_seconds(tries: int, rng: random.Random) -> float:
     """Returns how long to wait before another try, with jitter."""
-    return rng.uniform(0.5, 1.5) * _PAUSE_SECONDS * 2 ** max(0, tries - 1)
+    return (
+        rng.uniform(0.5, 1.5) * _BASE_BACKOFF_SECONDS * 2 ** max(0, tries - 1)
+    )
--- a/libs/policy/src/rattanmill_policy/ring.py
+++ b/libs/policy/src/rattanmill_policy/ring.py
@@ -11,7 +11,7 @@
 import itertools
 from collections.abc import Iterable
 
-_POINTS = 16
+_VIRTUAL_NODES = 16
 _HASH_BYTES = 8
 
 
@@ -20,9 +20,10 @@
     return int.from_bytes(digest, "big")
 
 
-def _points(name: str) -> list[tuple[int, str]]:
+def _virtual_nodes(name: str) -> list[tuple[int, str]]:
     return [
-        (_hash(f"{name}/{number}".encode()), name) for number in range(_POINTS)
+        (_hash(f"{name}/{number}".encode()), name)
+        for number in range(_VIRTUAL_NODES)
     ]
 
 
@@ -36,7 +37,7 @@
 
     def __init__(self, names: Iterable[str] = ()) -> None:
         self.points: list[tuple[int, str]] = []
-        self.known: set[str] = set()
+        self.members: set[str] = set()
         self.update(set(names))
 
     def update(self, names: set[str]) -> None:
@@ -46,17 +47,21 @@
         large fleet again would keep all calls waiting for a tenth of a
         second whenever one endpoint changes.
         """
-        gone, new = self.known - names, names - self.known
-        if len(gone) + len(new) > len(names) // 2:
+        removed, added = self.members - names, names - self.members
+        if len(removed) + len(added) > len(names) // 2:
             self.points = sorted(
-                point for name in names for point in _points(name)
+                point for name in names for point in _virtual_nodes(name)
             )
         else:
-            for point in itertools.chain.from_iterable(map(_points, gone)):
+            for point in itertools.chain.from_iterable(
+                map(_virtual_nodes, removed)
+            ):
                 del self.points[bisect.bisect_left(self.points, point)]
-            for point in itertools.chain.from_iterable(map(_points, new)):
+            for point in itertools.chain.from_iterable(
+                map(_virtual_nodes, added)
+            ):
                 bisect.insort(self.points, point)
-        self.known = set(names)
+        self.members = set(names)
 
     def homes(self, digest: bytes, count: int) -> list[str]:
         """Returns up to ``count`` different endpoints, the first one first."""
@@ -64,7 +69,7 @@
             return []
         at = bisect.bisect(self.points, (_hash(digest), ""))
         found: list[str] = []
-        for step in range(min(len(self.points), count * _POINTS)):
+        for step in range(min(len(self.points), count * _VIRTUAL_NODES)):
             _, name = self.points[(at + step) % len(self.points)]
             if name not in found:
                 found.append(name)
--- a/libs/policy/src/rattanmill_policy/speeds.py
+++ b/libs/policy/src/rattanmill_policy/speeds.py
@@ -9,19 +9,19 @@
 
 import msgspec
 
-_DECODE_SECONDS = 0.02
-_PREFILL_SECONDS = 0.0001
-_CALL_SECONDS = 0.1
-_STEP = 0.25
-_STEP_UP = 0.03
-_STEP_DOWN = 0.4
-_CLIP = 4.0
-_TRUST_SECONDS = 60.0
-_MOST_SAMPLES = 10.0
-_LOAD_SECONDS = 2.0
-_LEAST_TOKENS = 4
-_LEAST_PREFILL = 128
-_LEAST_FORGET = 0.01
+_DEFAULT_DECODE_SECONDS = 0.02
+_DEFAULT_PREFILL_SECONDS = 0.0001
+_DEFAULT_CALL_SECONDS = 0.1
+_EWMA_WEIGHT = 0.25
+_PREFILL_UP_WEIGHT = 0.03
+_PREFILL_DOWN_WEIGHT = 0.4
+_CLIP_FACTOR = 4.0
+_WEIGHT_DECAY_SECONDS = 60.0
+_MAX_SAMPLES = 10.0
+_LOAD_AVERAGE_SECONDS = 2.0
+_MIN_OUTPUT_TOKENS = 4
+_MIN_PREFILL_TOKENS = 128
+_MIN_DECAY_WEIGHT = 0.01
 
 
 class LoadReport(msgspec.Struct):
@@ -33,15 +33,15 @@
 
 
 def _clipped(value: float, around: float) -> float:
-    return min(max(value, around / _CLIP), around * _CLIP)
+    return min(max(value, around / _CLIP_FACTOR), around * _CLIP_FACTOR)
 
 
-def _least(least: float, usual: float, sample: float) -> float:
+def _decaying_min(minimum: float, usual: float, sample: float) -> float:
     """Returns the least seen, drawn slowly to what is usual by now."""
-    return min(sample, least + _LEAST_FORGET * (usual - least))
+    return min(sample, minimum + _MIN_DECAY_WEIGHT * (usual - minimum))
 
 
-class Speed:
+class SpeedEstimate:
     """Seconds per token and per call.
 
     Attributes:
@@ -55,63 +55,71 @@
     """
 
     def __init__(self) -> None:
-        self.prefill = _PREFILL_SECONDS
-        self.decode = _DECODE_SECONDS
-        self.decode_least = 0.0
-        self.prefill_least = 0.0
-        self.call = _CALL_SECONDS
+        self.prefill = _DEFAULT_PREFILL_SECONDS
+        self.decode = _DEFAULT_DECODE_SECONDS
+        self.decode_min = 0.0
+        self.prefill_min = 0.0
+        self.call = _DEFAULT_CALL_SECONDS
         self.samples = 0.0
-        self.measured = 0.0
+        self.measured_at = 0.0
 
-    def learn_chat(
+    def record_chat(
         self, now: float, first: float, total: float, uncached: int, output: int
     ) -> None:
         """Takes one answer: its times in seconds, its sizes in tokens."""
-        if output >= _LEAST_TOKENS and total > first:
-            self._learn_decode((total - first) / (output - 1))
-        if uncached >= _LEAST_PREFILL:
-            self._learn_prefill(first / uncached)
-        self._count(now)
+        if output >= _MIN_OUTPUT_TOKENS and total > first:
+            self._update_decode((total - first) / (output - 1))
+        if uncached >= _MIN_PREFILL_TOKENS:
+            self._update_prefill(first / uncached)
+        self._count_sample(now)
 
-    def learn_call(self, now: float, total: float) -> None:
+    def record_call(self, now: float, total: float) -> None:
         """Takes one answer of a plain service."""
         sample = _clipped(total, self.call) if self.samples else total
-        self.call += _STEP * (sample - self.call) if self.samples else 0.0
+        self.call += (
+            _EWMA_WEIGHT * (sample - self.call) if self.samples else 0.0
+        )
         if not self.samples:
             self.call = total
-        self._count(now)
+        self._count_sample(now)
 
-    def _learn_decode(self, sample: float) -> None:
-        if not self.decode_least:
-            self.decode = self.decode_least = sample
+    def _update_decode(self, sample: float) -> None:
+        if not self.decode_min:
+            self.decode = self.decode_min = sample
             return
-        self.decode += _STEP * (_clipped(sample, self.decode) - self.decode)
-        self.decode_least = _least(self.decode_least, self.decode, sample)
+        self.decode += _EWMA_WEIGHT * (
+            _clipped(sample, self.decode) - self.decode
+        )
+        self.decode_min = _decaying_min(self.decode_min, self.decode, sample)
 
-    def _learn_prefill(self, sample: float) -> None:
-        if not self.prefill_least:
-            self.prefill = self.prefill_least = sample
+    def _update_prefill(self, sample: float) -> None:
+        if not self.prefill_min:
+            self.prefill = self.prefill_min = sample
             return
-        step = _STEP_DOWN if sample < self.prefill else _STEP_UP
+        step = (
+            _PREFILL_DOWN_WEIGHT
+            if sample < self.prefill
+            else _PREFILL_UP_WEIGHT
+        )
         self.prefill += step * (_clipped(sample, self.prefill) - self.prefill)
-        self.prefill_least = _least(self.prefill_least, self.prefill, sample)
+        self.prefill_min = _decaying_min(self.prefill_min, self.prefill, sample)
 
-    def _count(self, now: float) -> None:
-        self.samples = min(self.trust(now) + 1, _MOST_SAMPLES)
-        self.measured = now
+    def _count_sample(self, now: float) -> None:
+        self.samples = min(self.weight(now) + 1, _MAX_SAMPLES)
+        self.measured_at = now
 
-    def least_seconds(self, uncached: int, output: int) -> float:
+    def min_seconds(self, uncached: int, output: int) -> float:
         """Returns the time of a call at the best speeds seen."""
-        prefill = self.prefill_least or self.prefill
-        decode = self.decode_least or self.decode
+        prefill = self.prefill_min or self.prefill
+        decode = self.decode_min or self.decode
         return uncached * prefill + output * decode
 
-    def trust(self, now: float) -> float:
+    def weight(self, now: float) -> float:
         """Weight of these estimates against the fleet's."""
         if not self.samples:
             return 0.0
-        age = max(0.0, now - self.measured)
-        return self.samples * math.exp(-age / _TRUST_SECONDS)
+        age = max(0.0, now - self.measured_at)
+        return self.samples * math.exp(-age / _WEIGHT_DECAY_SECONDS)
 
 
 class EndpointStats:
@@ -138,11 +146,11 @@
         "used",
     )
 
-    def __init__(self, first_limit: float) -> None:
-        self.speed = Speed()
+    def __init__(self, initial_limit: float) -> None:
+        self.speed = SpeedEstimate()
         self.others = 0.0
         self.slots = 0
-        self.limit = first_limit
+        self.limit = initial_limit
         self.reported = 0.0
         self.used = 0.0
         self.average_reported = 0.0
@@ -150,7 +158,7 @@
         # Start and expected seconds of each call there, oldest first.
         self.started: dict[int, tuple[float, float]] = {}
 
-    def take_report(
+    def record_load_report(
         self, now: float, report: LoadReport, in_flight: int
     ) -> None:
         """Takes a load report and corrects it by what we have there.
@@ -160,11 +168,11 @@
         twice, and all instances would flee or rush to an endpoint at once.
         Both sides are averaged over the same time, so a lag cancels out.
         """
-        there = report.waiting + report.running
+        reported_calls = report.waiting + report.running
         age = now - self.reported if self.reported else math.inf
-        keep = math.exp(-age / _LOAD_SECONDS)
+        keep = math.exp(-age / _LOAD_AVERAGE_SECONDS)
         self.average_reported = keep * self.average_reported + (1 - keep) * (
-            there
+            reported_calls
         )
         self.average_in_flight = keep * self.average_in_flight + (1 - keep) * (
             in_flight
@@ -173,7 +181,7 @@
         self.slots = report.slots
         self.reported = now
 
-    def overdue(self, now: float) -> float:
+    def overdue_factor(self, now: float) -> float:
         """How many times longer than expected the oldest call has taken.
 
         An endpoint that has slowed down or hangs finishes nothing, so
@@ -184,7 +192,7 @@
         return 1.0
 
 
-class Pace(msgspec.Struct):
+class BlendedSpeed(msgspec.Struct):
     """Speeds of an endpoint as decisions use them, in seconds per token."""
 
     prefill: float
@@ -192,16 +200,18 @@
     call: float
 
 
-def pace(own: Speed, fleet: Speed, now: float) -> Pace:
+def blend_speed(
+    own: SpeedEstimate, fleet: SpeedEstimate, now: float
+) -> BlendedSpeed:
     """Returns an endpoint's speeds, drawn towards the fleet's if unsure."""
-    trust = own.trust(now)
+    weight = own.weight(now)
     if not fleet.samples:
-        return Pace(own.prefill, own.decode, own.call)
+        return BlendedSpeed(own.prefill, own.decode, own.call)
 
-    def blend(mine: float, all_of_us: float) -> float:
-        return (trust * mine + all_of_us) / (trust + 1)
+    def blend(own_value: float, fleet_value: float) -> float:
+        return (weight * own_value + fleet_value) / (weight + 1)
 
-    return Pace(
+    return BlendedSpeed(
         blend(own.prefill, fleet.prefill),
         blend(own.decode, fleet.decode),
         blend(own.call, fleet.call),
--- a/libs/policy/src/rattanmill_policy/table.py
+++ b/libs/policy/src/rattanmill_policy/table.py
@@ -5,15 +5,15 @@
 
 from rattanmill_core import Aspect, EndpointNote, Sign, loop_seconds
 from rattanmill_platform import Endpoint
-from rattanmill_policy.health import Load, Mark
+from rattanmill_policy.health import AspectState, Load
 from rattanmill_policy.outcome import Outcome
 
-_SUSPECT_SECONDS = 2.0
-_FAILURES = 3
-_FORGET_SECONDS = 300.0
+_SUSPECT_AVOID_SECONDS = 2.0
+_MAX_FAILURES = 3
+_UNLISTED_RETENTION_SECONDS = 300.0
 
 # What an attempt that ended so says against its endpoint.
-_SUSPICIOUS = (Outcome.NOT_CONNECTED, Outcome.BROKEN, Outcome.TIMED_OUT)
+_ENDPOINT_FAILURES = (Outcome.NOT_CONNECTED, Outcome.BROKEN, Outcome.TIMED_OUT)
 
 
 class EndpointState:
@@ -38,16 +38,16 @@
         self.listed = True
         self.in_flight = 0
         self.avoid_until = 0.0
-        self.departure = Mark(Aspect.DEPARTURE)
-        self.reach = Mark(Aspect.REACH)
+        self.departure = AspectState(Aspect.DEPARTURE)
+        self.reach = AspectState(Aspect.REACH)
         self.failures = 0
         self.load: Load | None = None
-        self.cache_tokens_seen = 0
-        self.running: set[asyncio.Timeout] = set()
+        self.max_cache_tokens = 0
+        self.active_timeouts: set[asyncio.Timeout] = set()
         self.progress_at = 0.0
 
     @property
-    def marks(self) -> tuple[Mark, Mark]:
+    def aspects(self) -> tuple[AspectState, AspectState]:
         """Both marks."""
         return self.departure, self.reach
 
@@ -63,21 +63,21 @@
             return "leaving"
         return "down" if self.reach.closed else "live"
 
-    def takes_work(self, now: float) -> bool:
+    def accepts_work(self, now: float) -> bool:
         """Whether it may get new work."""
         if self.closed or now < self.avoid_until:
             return False
-        limits = [mark.limit(now) for mark in self.marks]
-        return all(most is None or self.in_flight < most for most in limits)
+        limits = [aspect.ramp_limit(now) for aspect in self.aspects]
+        return all(limit is None or self.in_flight < limit for limit in limits)
 
-    def report(self, load: Load) -> None:
+    def update_load(self, load: Load) -> None:
         """Takes a load report."""
         self.load = load
-        self.cache_tokens_seen = max(self.cache_tokens_seen, load.cache_tokens)
+        self.max_cache_tokens = max(self.max_cache_tokens, load.cache_tokens)
 
-    def abort(self, now: float) -> None:
+    def abort_attempts(self, now: float) -> None:
         """Gives up the attempts that wait for an answer there."""
-        for timer in self.running:
+        for timer in self.active_timeouts:
             timer.reschedule(now)
 
 
@@ -126,14 +126,17 @@
         if state.listed:
             state.listed = False
             self.close(state, Aspect.DEPARTURE, Sign.UNLISTED)
-        elif loop_seconds() - state.departure.changed_at > _FORGET_SECONDS:
+        elif (
+            loop_seconds() - state.departure.changed_at
+            > _UNLISTED_RETENTION_SECONDS
+        ):
             del self.states[name]
 
     def engines(self, model: str) -> list[EndpointState]:
         """Engines that serve a model and take work."""
         return [
             state
-            for state in self._open()
+            for state in self._open_states()
             if state.endpoint.kind == "engine"
             and model in state.endpoint.models
         ]
@@ -142,7 +145,7 @@
         """Plain services of a name that take work."""
         return [
             state
-            for state in self._open()
+            for state in self._open_states()
             if state.endpoint.kind == "service"
             and state.endpoint.service == service
         ]
@@ -174,7 +177,7 @@
             for s in self.states.values()
         )
 
-    def learn(self, state: EndpointState, outcome: Outcome) -> None:
+    def record_outcome(self, state: EndpointState, outcome: Outcome) -> None:
         """Learns from an attempt that ended.
 
         A failed attempt alone closes nothing: a full backlog refuses now and
@@ -185,61 +188,63 @@
             state.failures = 0
         elif outcome is Outcome.DRAINING:
             self.close(state, Aspect.DEPARTURE, Sign.DRAINING)
-        elif outcome in _SUSPICIOUS:
+        elif outcome in _ENDPOINT_FAILURES:
             state.failures += 1
-            if state.failures >= _FAILURES:
+            if state.failures >= _MAX_FAILURES:
                 self.close(state, Aspect.REACH, Sign.FAILING)
-            self.avoid(state.endpoint.name, _SUSPECT_SECONDS)
+            self.avoid(state.endpoint.name, _SUSPECT_AVOID_SECONDS)
             self.on_suspect(state)
 
     def close(self, state: EndpointState, aspect: Aspect, sign: Sign) -> None:
         """Keeps new work away from an endpoint and tells others."""
-        mark = _mark(state, aspect)
-        if mark.close(sign, loop_seconds()):
-            self._closed(state, mark)
-            self.on_note(mark.note(state.endpoint.name))
+        aspect_state = _aspect_state(state, aspect)
+        if aspect_state.close(sign, loop_seconds()):
+            self._on_closed(state, aspect_state)
+            self.on_note(aspect_state.to_note(state.endpoint.name))
 
     def reopen(self, state: EndpointState, aspect: Aspect) -> None:
         """Lets new work in again, a little at first, and tells others."""
-        mark = _mark(state, aspect)
-        if mark.reopen(loop_seconds()):
+        aspect_state = _aspect_state(state, aspect)
+        if aspect_state.reopen(loop_seconds()):
             state.failures = 0
-            self.on_note(mark.note(state.endpoint.name))
+            self.on_note(aspect_state.to_note(state.endpoint.name))
 
-    def take(self, note: EndpointNote) -> bool:
+    def merge(self, note: EndpointNote) -> bool:
         """Takes what another instance saw; True if it was news."""
         state = self.states.get(note.endpoint)
         if state is None:
             return False
-        mark = _mark(state, note.aspect)
-        if not mark.take(note, loop_seconds()):
+        aspect_state = _aspect_state(state, note.aspect)
+        if not aspect_state.merge(note, loop_seconds()):
             return False
-        if mark.closed:
-            self._closed(state, mark)
+        if aspect_state.closed:
+            self._on_closed(state, aspect_state)
         else:
             state.failures = 0
         return True
 
-    def _closed(self, state: EndpointState, mark: Mark) -> None:
+    def _on_closed(
+        self, state: EndpointState, aspect_state: AspectState
+    ) -> None:
         # A call at an endpoint that hangs would wait for a time-out of a
         # minute; given up now, it still finishes elsewhere. A connection
         # that is refused says nothing about the calls that are running.
-        if mark.sign in (Sign.SILENT, Sign.STALLED):
-            state.abort(loop_seconds())
+        if aspect_state.sign in (Sign.SILENT, Sign.STALLED):
+            state.abort_attempts(loop_seconds())
 
     def avoid(self, name: str, seconds: float) -> None:
         """Gives an endpoint no new work for a while."""
         if state := self.states.get(name):
             state.avoid_until = max(state.avoid_until, loop_seconds() + seconds)
 
-    def _open(self) -> list[EndpointState]:
+    def _open_states(self) -> list[EndpointState]:
         now = loop_seconds()
         return [
             state
             for name, state in self.states.items()
-            if name not in self.drained and state.takes_work(now)
+            if name not in self.drained and state.accepts_work(now)
         ]
 
 
-def _mark(state: EndpointState, aspect: Aspect) -> Mark:
+def _aspect_state(state: EndpointState, aspect: Aspect) -> AspectState:
     return state.departure if aspect is Aspect.DEPARTURE else state.reach
--- a/libs/policy/src/rattanmill_policy/work.py
+++ b/libs/policy/src/rattanmill_policy/work.py
@@ -43,14 +43,14 @@
     service: str = ""
     prefixes: list[tuple[bytes, int]] = msgspec.field(default_factory=list)
     prompt_tokens: int = 0
-    output_tokens: int = 0
+    max_output_tokens: int = 0
     seconds_left: float = 600.0
     age_seconds: float = 0.0
     attained_seconds: float = 0.0
     body_digest: bytes = b""
     tried: list[str] = msgspec.field(default_factory=list)
     runs: int = 0
-    began: float = 0.0
+    started_at: float = 0.0
     deadline: float = 0.0
 
     @property
@@ -63,7 +63,7 @@
         """Whether nothing of its program has run yet."""
         return bool(self.model) and self.turn <= 1 and not self.parent
 
-    def left(self, now: float) -> float:
+    def remaining_seconds(self, now: float) -> float:
         """Seconds until the caller's deadline at loop time ``now``."""
         return self.deadline - now
 
@@ -97,23 +97,23 @@
         self,
         work: Work,
         state: EndpointState,
-        on_exit: Callable[["Placement"], None],
+        on_release: Callable[["Placement"], None],
     ) -> None:
         self.work = work
         self.state = state
-        self.on_exit = on_exit
+        self.on_release = on_release
         self.priority = 0
         self.timeout_seconds = 60.0
         self.expected_seconds = 0.0
-        self.cached_expected = 0
-        self.cached_since = 0.0
+        self.expected_cached_tokens = 0
+        self.cache_last_used = 0.0
         self.outcome = Outcome.ABANDONED
         self.first_token_seconds = 0.0
         self.seconds = 0.0
         self.prompt_tokens = 0
         self.cached_tokens = 0
         self.output_tokens = 0
-        self.began = asyncio.get_running_loop().time()
+        self.started_at = asyncio.get_running_loop().time()
         state.in_flight += 1
 
     @property
@@ -125,8 +125,8 @@
         """Gives the place back."""
         self.state.in_flight -= 1
         now = asyncio.get_running_loop().time()
-        self.seconds = self.seconds or now - self.began
-        self.on_exit(self)
+        self.seconds = self.seconds or now - self.started_at
+        self.on_release(self)
 
     def __enter__(self) -> Self:
         return self
--- a/tests/features/steps/admission.py
+++ b/tests/features/steps/admission.py
@@ -15,13 +15,13 @@
 from rattanmill_policy.admission import (
     Admission,
     Permits,
-    Shape,
+    ProgramProfile,
     allowed_delay,
     next_limit,
 )
-from rattanmill_policy.queueing import ProgramUses, virtual_deadline
+from rattanmill_policy.queueing import ProgramUsageTable, virtual_deadline
 from support import EngineSpec, Layout, wait_until
-from support.virtual import Fleet, chat_work, run_virtually, with_target
+from support.virtual import Fleet, chat_work, class_with_target, run_virtually
 
 _EXAMPLES = settings(max_examples=200, deadline=None, derandomize=True)
 _DELAY = 5.0
@@ -156,8 +156,8 @@
             {"a": 0.5},
             lambda *args: Scheduler(*args, rules=context.rules, seed=1),
         )
-        fleet.classes = {"default": with_target(3600.0)}
-        fleet.limit(1)
+        fleet.classes = {"default": class_with_target(3600.0)}
+        fleet.set_limit(1)
         held = await fleet.hold(
             chat_work("holder", workspace=context.workspace)
         )
@@ -166,10 +166,10 @@
         async def wait(work):
             placed = await fleet.scheduler.place(work)
             assert isinstance(placed, Placement), placed
-            fleet.limit(1)
+            fleet.set_limit(1)
             order.append(work.program)
             await fleet.finish(placed)
-            fleet.limit(1)
+            fleet.set_limit(1)
 
         tasks = []
         for work in works:
@@ -232,7 +232,7 @@
 
 def _admits(delay, excess):
     admission = Admission(random.Random(1))
-    admission.of("default").shape.learn("run", 1.0)
+    admission.class_state("default").profile.record_sample("run", 1.0)
     verdict = admission.check_new(
         "default",
         WorkClass(target_seconds=60.0),
@@ -240,7 +240,7 @@
         age=0.0,
         delay=delay,
         excess=excess,
-        ending=0.0,
+        completion_rate=0.0,
         now=100.0,
     )
     return verdict.admitted
@@ -258,8 +258,8 @@
 
 @then("at half of the allowed wait only the one within its share is")
 def step_share_only(context):
-    shape = Admission(random.Random(1)).of("default").shape
-    shape.learn("run", 1.0)
+    shape = Admission(random.Random(1)).class_state("default").profile
+    shape.record_sample("run", 1.0)
     allowed = allowed_delay(shape, WorkClass(target_seconds=60.0))
     assert _admits(0.49 * allowed, 0.0)
     assert not _admits(0.49 * allowed, 2.0)
@@ -269,7 +269,7 @@
 def step_deadline(context):
     async def run():
         fleet = Fleet({"a": 0.5})
-        fleet.limit(1)
+        fleet.set_limit(1)
         held = await fleet.hold(chat_work("holder"))
         refusal = await fleet.call(chat_work("late", seconds_left=2.0))
         late = asyncio.get_running_loop().time()
@@ -309,20 +309,20 @@
 
 @then("a sub-agent goes no earlier than its parent would")
 def step_sub_agents(context):
-    uses = ProgramUses()
-    parent = uses.of(chat_work("parent"), 100.0)
+    uses = ProgramUsageTable()
+    parent = uses.usage_of(chat_work("parent"), 100.0)
     parent.attained = 50.0
-    child = uses.of(chat_work("child", parent="parent", turn=1), 130.0)
-    grandchild = uses.of(chat_work("grandchild", parent="child"), 130.0)
+    child = uses.usage_of(chat_work("child", parent="parent", turn=1), 130.0)
+    grandchild = uses.usage_of(chat_work("grandchild", parent="child"), 130.0)
     assert child is parent
     assert grandchild is parent
 
 
 def _refusals(count):
     admission = Admission(random.Random(1))
-    state = admission.of("default")
+    state = admission.class_state("default")
     for number in range(20):
-        state.admitted.note(90.0 + number / 2)
+        state.admitted.record(90.0 + number / 2)
     verdicts = [
         admission.check_new(
             "default",
@@ -331,7 +331,7 @@
             age=0.0,
             delay=1000.0,
             excess=0.0,
-            ending=1.0,
+            completion_rate=1.0,
             now=100.0,
         )
         for _ in range(count)
@@ -370,24 +370,24 @@
 def _see(shape, programs, calls, now):
     for _ in range(programs):
         for number in range(1, calls + 1):
-            shape.note_call(number, now)
+            shape.record_call(number, now)
 
 
 @given("a class that saw {programs:d} programs of {calls:d} calls")
 def step_saw(context, programs, calls):
-    context.shape = Shape()
-    _see(context.shape, programs, calls, 100.0)
-    assert context.shape.calls(95.0) == calls
+    context.profile = ProgramProfile()
+    _see(context.profile, programs, calls, 100.0)
+    assert context.profile.calls_percentile(95.0) == calls
 
 
 @when(
     "it is used again a week later by {programs:d} programs of {calls:d} calls"
 )
 def step_week_later(context, programs, calls):
-    _see(context.shape, programs, calls, 100.0 + 7 * 86_400)
+    _see(context.profile, programs, calls, 100.0 + 7 * 86_400)
 
 
 @then("the percentile {percent:d} of its calls is {calls:d}")
 def step_percentile(context, percent, calls):
-    assert context.shape.calls(percent) == calls
-    assert round(context.shape.mean_calls()) == calls
+    assert context.profile.calls_percentile(percent) == calls
+    assert round(context.profile.mean_calls()) == calls
--- a/tests/features/steps/leaving.py
+++ b/tests/features/steps/leaving.py
@@ -15,7 +15,7 @@
     received,
 )
 from rattanmill_core import Aspect, EndpointNote, Sign
-from rattanmill_policy import Mark
+from rattanmill_policy import AspectState
 from support import wait_until
 
 _MOST_BATCHES = 20
@@ -269,13 +269,13 @@
     @CHECKS
     @given_any(context.notes, strategies.randoms(use_true_random=False))
     def check(notes, random):
-        one, other = Mark(Aspect.REACH), Mark(Aspect.REACH)
+        one, other = AspectState(Aspect.REACH), AspectState(Aspect.REACH)
         shuffled = list(notes) * 2
         random.shuffle(shuffled)
         for note in notes:
-            one.take(note, 0.0)
+            one.merge(note, 0.0)
         for note in shuffled:
-            other.take(note, 0.0)
+            other.merge(note, 0.0)
         assert one.closed == other.closed, (notes, shuffled)
         assert one.generation == other.generation
 
@@ -287,9 +287,9 @@
     @CHECKS
     @given_any(context.notes)
     def check(notes):
-        mark = Mark(Aspect.REACH)
+        mark = AspectState(Aspect.REACH)
         mark.close(Sign.REFUSED, time.monotonic())
-        assert not any(mark.take(note, 1.0) for note in notes)
+        assert not any(mark.merge(note, 1.0) for note in notes)
         assert mark.closed
 
     check()
@@ -297,7 +297,7 @@
 
 @then("an endpoint that fails again and again is tried less and less")
 def step_less_and_less(context):
-    mark = Mark(Aspect.REACH)
+    mark = AspectState(Aspect.REACH)
     now = 0.0
     tries = []
     while now < 120.0:
@@ -305,7 +305,7 @@
             tries.append(now)
             mark.close(Sign.REFUSED, now)
         now += 0.5
-        if mark.probed(True, now):
+        if mark.record_probe(True, now):
             mark.reopen(now)
     gaps = [b - a for a, b in itertools.pairwise(tries)]
     assert len(tries) <= 8, tries
--- a/tests/features/steps/memory.py
+++ b/tests/features/steps/memory.py
@@ -4,7 +4,7 @@
 from hypothesis import given as given_any
 from hypothesis import settings, strategies
 
-from rattanmill_policy import Pin, Pinned
+from rattanmill_policy import Pin, ProgramPins
 from support import Client, EngineSpec, Layout, start, wait_until
 from support.stack import ALBA, random_text
 
@@ -184,11 +184,11 @@
 
 
 def after_pauses(pauses):
-    pinned, now = Pinned(), 0.0
+    pinned, now = ProgramPins(), 0.0
     for pause in pauses:
         pinned.paused_at = now
         now += pause
-        pinned.returned(now)
+        pinned.end_pause(now)
     return pinned
 
 
@@ -202,7 +202,7 @@
     @CHECKS
     @given_any(context.pauses)
     def check(pauses):
-        kept = after_pauses(pauses * 10).deadline(0.0)
+        kept = after_pauses(pauses * 10).pin_deadline(0.0)
         assert kept > sum(pauses) / len(pauses)
         assert kept <= max(10.0, 4 * max(*pauses, 15.0))
 
@@ -211,13 +211,13 @@
 
 @then("a program whose pauses are long is not pinned")
 def step_long_pauses(context):
-    assert after_pauses([5.0] * 5).is_worth_keeping(1000)
-    assert not after_pauses([600.0] * 5).is_worth_keeping(1000)
+    assert after_pauses([5.0] * 5).should_pin(1000)
+    assert not after_pauses([600.0] * 5).should_pin(1000)
 
 
 @then("all pin orders together stay near the length of the conversation")
 def step_orders(context):
-    pinned, sent = Pinned(), 0
+    pinned, sent = ProgramPins(), 0
     for tokens in range(1000, 170_000, 400):
         if not pinned.covers("engine-1", tokens):
             pinned.pins["engine-1"] = Pin(tokens, 0.0)
--- a/tests/features/steps/ownership.py
+++ b/tests/features/steps/ownership.py
@@ -28,7 +28,7 @@
     Written,
 )
 from support import wait_until
-from support.virtual import pause, run_virtually
+from support.virtual import advance_clock, run_virtually
 
 
 def start_later(context, instance):
@@ -285,7 +285,7 @@
         async with InstanceLease(kv, "key", b"record", 0.6) as lease:
             lease.confirm(lease.interruptions)
             seen.append(lease.holds())
-            pause(0.7)
+            advance_clock(0.7)
             seen.append(lease.holds())
             while not lease.valid():  # noqa: ASYNC110
                 await asyncio.sleep(0.01)
--- a/tests/features/steps/placement.py
+++ b/tests/features/steps/placement.py
@@ -11,12 +11,17 @@
 from bench.policies import Naive
 from rattanmill_core import Reason, WorkClass
 from rattanmill_policy import LoadReport, Scheduler, Work
-from rattanmill_policy.choosing import held_prefixes
-from rattanmill_policy.placement import Call, cache_price, estimate
+from rattanmill_policy.choosing import cached_prefixes
+from rattanmill_policy.placement import PlacementRequest, cache_price, estimate
 from rattanmill_policy.prefixes import PrefixMap
 from rattanmill_policy.ring import Ring
-from rattanmill_policy.speeds import EndpointStats, Pace
-from support.virtual import Fleet, chat_work, conversation, run_virtually
+from rattanmill_policy.speeds import BlendedSpeed, EndpointStats
+from support.virtual import (
+    Fleet,
+    chat_work,
+    conversation_prefixes,
+    run_virtually,
+)
 
 _EXAMPLES = settings(max_examples=100, deadline=None, derandomize=True)
 _NAMES = st.sets(st.text("abcdef123", min_size=1), min_size=2, max_size=12)
@@ -74,9 +79,9 @@
     for act in context.plan:
         match act:
             case ("calls", count, at_once):
-                before = fleet.ran.copy()
+                before = fleet.run_counts.copy()
                 await _calls(fleet, count, at_once)
-                counts.append(fleet.ran - before)
+                counts.append(fleet.run_counts - before)
             case ("keep", name, seconds):
                 fleet.seconds = fleet.seconds | {name: float(seconds)}
     return counts
@@ -110,7 +115,7 @@
             work = chat_work(
                 "talk",
                 turn=turn,
-                prefixes=conversation("talk", turn + 1),
+                prefixes=conversation_prefixes("talk", turn + 1),
                 prompt_tokens=500 * (turn + 1),
             )
             placed = await fleet.call(work)
@@ -130,14 +135,14 @@
 def step_busy(context, count):
     async def talk():
         fleet = _fleet(context)
-        prefixes = conversation("talk", 2)
+        prefixes = conversation_prefixes("talk", 2)
         work = {"prefixes": prefixes, "prompt_tokens": 1000}
         first = await fleet.call(chat_work("talk", **work))
         state = first.state
         report = LoadReport(waiting=count - 4, running=4, slots=4)
         for _ in range(5):
             await asyncio.sleep(1)
-            fleet.scheduler.take_report(state.endpoint.name, report)
+            fleet.scheduler.record_load_report(state.endpoint.name, report)
         second = await fleet.call(chat_work("talk", turn=3, **work))
         return state, second.state
 
@@ -153,17 +158,17 @@
 def step_not_believed(context):
     context.prefixes = PrefixMap()
     old, new = (
-        chat_work(name, prefixes=conversation(name, 3))
+        chat_work(name, prefixes=conversation_prefixes(name, 3))
         for name in ("old", "new")
     )
     context.old, context.new = old, new
-    context.prefixes.sent(old, "a", 10.0)
-    context.prefixes.sent(new, "a", 20.0)
-    later = chat_work("later", prefixes=conversation("later", 3))
+    context.prefixes.record_prompt(old, "a", 10.0)
+    context.prefixes.record_prompt(new, "a", 20.0)
+    later = chat_work("later", prefixes=conversation_prefixes("later", 3))
     context.later = later
-    context.prefixes.sent(later, "a", 30.0)
+    context.prefixes.record_prompt(later, "a", 30.0)
     held = context.prefixes.find(new)["a"]
-    context.prefixes.answered("a", held.tokens, held.since, 0)
+    context.prefixes.record_answer("a", held.tokens, held.last_used, 0)
     assert not context.prefixes.find(new)
     assert context.prefixes.find(later)
 
@@ -218,8 +223,8 @@
         fleet.seconds = {"a": 0.18, "b": 0.2}
         await _calls(fleet, 40, 2)
         for name in fleet.seconds:
-            fleet.scheduler.take_report(name, LoadReport(slots=8))
-        fleet.limit(1)
+            fleet.scheduler.record_load_report(name, LoadReport(slots=8))
+        fleet.set_limit(1)
         held = await fleet.hold(chat_work("holder"))
         assert held.state.endpoint.name == "a", held.state.endpoint
         began = asyncio.get_running_loop().time()
@@ -245,12 +250,12 @@
     @for_any(tokens, tokens, st.integers(0, 50), seconds, seconds, less)
     def check(prompt, output, in_flight, prefill, decode, share):
         cached = int(prompt * share)
-        call = Call(prompt, output, prompt, 3.0, True)
+        call = PlacementRequest(prompt, output, prompt, 3.0, True)
         stats = EndpointStats(4.0)
         stats.slots = 8
 
         def cost(load, held, factor):
-            speed = Pace(prefill * factor, decode * factor, 0.1)
+            speed = BlendedSpeed(prefill * factor, decode * factor, 0.1)
             return estimate(stats, speed, load, call, held, 0.0).cost
 
         least = cost(in_flight, cached, 1.0)
@@ -297,12 +302,12 @@
         for number in range(50):
             work = chat_work(
                 f"program-{number}",
-                prefixes=conversation(f"talk-{rng.randrange(5)}", 4),
+                prefixes=conversation_prefixes(f"talk-{rng.randrange(5)}", 4),
             )
             await fleet.call(work)
-            known = fleet.scheduler.known
-            held = held_prefixes(known, work)
-            found = known.candidates.pick(work, held)
+            known = fleet.scheduler.state
+            held = cached_prefixes(known, work)
+            found = known.candidates.select(work, held)
             assert 1 < len(found) <= most, len(found)
 
     run_virtually(look())
@@ -322,6 +327,6 @@
 def step_nothing_kept(context):
     reasons = {refusal.reason for refusal in context.refusals}
     assert reasons == {Reason.UNKNOWN_MODEL}, reasons
-    known = context.fleet.scheduler.known
+    known = context.fleet.scheduler.state
     kept = [len(known.candidates.pools), len(known.groups)]
     assert kept == [0, 0], kept
--- a/tests/features/steps/quarantine.py
+++ b/tests/features/steps/quarantine.py
@@ -293,7 +293,7 @@
 def told(events):
     quarantine = Quarantine()
     for event in events:
-        quarantine.take(event)
+        quarantine.record(event)
     return quarantine
 
 
@@ -311,7 +311,7 @@
         random.shuffle(shuffled)
         one, other = told(events), told(shuffled)
         for fingerprint in PRINTS:
-            assert one.is_condemned(fingerprint) == other.is_condemned(
+            assert one.is_quarantined(fingerprint) == other.is_quarantined(
                 fingerprint
             ), (events, shuffled)
 
@@ -327,12 +327,12 @@
         for fingerprint, late in ((guilty, 0), (innocent, 300))
     ]
     quarantine = told(both)
-    assert not quarantine.is_condemned(guilty)
-    assert not quarantine.is_condemned(innocent)
+    assert not quarantine.is_quarantined(guilty)
+    assert not quarantine.is_quarantined(innocent)
     alone = CrashNote(guilty, "engine-3", BASE + 10_000, guilty)
     quarantine = told([*both, alone])
-    assert quarantine.is_condemned(guilty)
-    assert not quarantine.is_condemned(innocent)
+    assert quarantine.is_quarantined(guilty)
+    assert not quarantine.is_quarantined(innocent)
 
 
 @then("suspects of one crash run again one after the other, everywhere alike")
@@ -342,10 +342,10 @@
     beside = CrashNote(b"beside" * 2, "engine-2", BASE, b"beside" * 2)
     for order in itertools.permutations([*crash, beside]):
         quarantine = told(order)
-        places = list(map(quarantine.place_of, PRINTS))
+        places = list(map(quarantine.retry_position, PRINTS))
         assert places == [0, 1, 2], places
-        assert quarantine.place_of(beside.fingerprint) == 0
-    assert quarantine.place_of(b"never seen") == 0
+        assert quarantine.retry_position(beside.fingerprint) == 0
+    assert quarantine.retry_position(b"never seen") == 0
 
 
 @then("a request that is finished between crashes is never refused")
@@ -358,9 +358,9 @@
             CrashNote(PRINTS[0], "engine-1", at),
             CrashNote(PRINTS[0], "", at + 5_000),
         ]
-        assert not told(events).is_condemned(PRINTS[0])
+        assert not told(events).is_quarantined(PRINTS[0])
     without = told([event for event in events if event.endpoint])
-    assert without.is_condemned(PRINTS[0])
+    assert without.is_quarantined(PRINTS[0])
 
 
 @then("what is kept is bounded")
@@ -370,5 +370,5 @@
         CrashNote(number.to_bytes(16, "big"), "engine-1", now - 20_000 + number)
         for number in range(10_200)
     )
-    assert 9_000 <= len(quarantine.suspicions) <= 10_000
+    assert 9_000 <= len(quarantine.suspects) <= 10_000
     assert quarantine.is_suspected((10_199).to_bytes(16, "big"))
--- a/tests/features/steps/retries.py
+++ b/tests/features/steps/retries.py
@@ -10,13 +10,13 @@
 
 from bench.policies import Naive
 from rattanmill_policy import Outcome, Scheduler
-from rattanmill_policy.retries import RetryBudget, is_worth_retrying
+from rattanmill_policy.retries import RetryBudget, should_retry
 from support import EngineSpec, Layout, wait_until
 from support.virtual import (
     Fleet,
     chat_work,
+    class_with_target,
     run_virtually,
-    with_target,
 )
 
 _EXAMPLES = settings(max_examples=200, deadline=None, derandomize=True)
@@ -26,7 +26,7 @@
     fleet = Fleet(dict.fromkeys(names, 0.2), make)
     fleet.failing = set(failing)
     # A table that closes what fails would hide the retries.
-    fleet.table.learn = lambda state, outcome: None
+    fleet.table.record_outcome = lambda state, outcome: None
     return fleet
 
 
@@ -60,13 +60,13 @@
 
 @then("fewer than 10 in 100 calls were tried again")
 def step_few_again(context):
-    again = context.fleet.ran.total() - context.count
+    again = context.fleet.run_counts.total() - context.count
     assert 0 < again < context.count / 10, again
 
 
 @then("each call was tried 3 times")
 def step_all_again(context):
-    assert context.fleet.ran.total() == 3 * context.count
+    assert context.fleet.run_counts.total() == 3 * context.count
 
 
 @given('runners "a, b" of which "a" breaks each call')
@@ -153,9 +153,9 @@
         for is_first in events:
             if is_first:
                 first += 1
-                budget.earn("a")
+                budget.deposit("a")
             else:
-                again += budget.take("a")
+                again += budget.try_withdraw("a")
             assert again <= 10 + 0.08 * first + 1e-9
 
     check()
@@ -164,16 +164,16 @@
 @then("a call past its deadline is not tried again")
 def step_past_deadline(context):
     work = chat_work("late", seconds_left=5.0)
-    work.began, work.deadline = 100.0, 105.0
-    assert is_worth_retrying(work, Outcome.BROKEN, 104.0)
-    assert not is_worth_retrying(work, Outcome.BROKEN, 105.0)
+    work.started_at, work.deadline = 100.0, 105.0
+    assert should_retry(work, Outcome.BROKEN, 104.0)
+    assert not should_retry(work, Outcome.BROKEN, 105.0)
 
 
 @then("a program past its target is waited for as long as one in time")
 def step_patience(context):
     async def run():
         fleet = Fleet({"a": 0.2})
-        fleet.classes = {"default": with_target(30.0)}
+        fleet.classes = {"default": class_with_target(30.0)}
         fresh = await fleet.hold(chat_work("fresh"))
         late = await fleet.hold(chat_work("late", age_seconds=100.0))
         return fresh.timeout_seconds, late.timeout_seconds
--- a/tests/support/virtual.py
+++ b/tests/support/virtual.py
@@ -25,7 +25,7 @@
 MODEL = "commentary"
 
 
-class _Selector(selectors.SelectSelector):
+class _VirtualClockSelector(selectors.SelectSelector):
     """Moves the clock on instead of waiting."""
 
     def __init__(self) -> None:
@@ -41,25 +41,25 @@
 
 def run_virtually(work: Coroutine) -> Any:
     """Runs a coroutine on a loop in virtual time."""
-    selector = _Selector()
+    selector = _VirtualClockSelector()
     loop = asyncio.SelectorEventLoop(selector)
     loop.time = lambda: selector.now
     loop.clock = selector
     try:
         return loop.run_until_complete(work)
     finally:
-        loop.run_until_complete(_end(asyncio.all_tasks(loop)))
+        loop.run_until_complete(_cancel_all(asyncio.all_tasks(loop)))
         loop.close()
 
 
-async def _end(tasks: set[asyncio.Task]) -> None:
+async def _cancel_all(tasks: set[asyncio.Task]) -> None:
     """Cancels what a coroutine has left running."""
     for task in tasks:
         task.cancel()
     await asyncio.gather(*tasks, return_exceptions=True)
 
 
-def pause(seconds: float) -> None:
+def advance_clock(seconds: float) -> None:
     """Lets virtual time pass while nothing runs, as in a stopped process."""
     asyncio.get_running_loop().clock.now += seconds
 
@@ -81,12 +81,12 @@
     def __init__(
         self,
         seconds: dict[str, float],
-        make: Callable[..., Scheduler] = Scheduler,
+        make_scheduler: Callable[..., Scheduler] = Scheduler,
     ) -> None:
         self.seconds = seconds
         self.failing: set[str] = set()
         self.down: set[str] = set()
-        self.ran: collections.Counter[str] = collections.Counter()
+        self.run_counts: collections.Counter[str] = collections.Counter()
         self.classes = {"default": WorkClass()}
         self.table = EndpointTable()
         self.table.refresh(
@@ -95,14 +95,14 @@
                 for name in seconds
             ]
         )
-        self.scheduler = make(
+        self.scheduler = make_scheduler(
             self.table, lambda: ConfigDocument(classes=self.classes)
         )
 
-    def limit(self, most: int) -> None:
+    def set_limit(self, limit: int) -> None:
         """Sets how many calls each endpoint may have at first."""
         for state in self.table.states.values():
-            self.scheduler.known.candidates.stats_of(state).limit = most
+            self.scheduler.state.candidates.stats_of(state).limit = limit
 
     async def hold(self, work: Work) -> Placement | Refusal:
         """Returns a place for a call and keeps it."""
@@ -111,50 +111,50 @@
     async def call(self, work: Work) -> Placement | Refusal:
         """Runs a call, with retries; returns its last place or a refusal."""
         while True:
-            placed = await self.scheduler.place(work)
-            if isinstance(placed, Refusal):
-                return placed
-            await self.finish(placed)
-            if placed.outcome is Outcome.ANSWERED:
-                return placed
-            work.tried.append(placed.state.endpoint.name)
-            if not self.scheduler.may_retry(work, placed.outcome):
-                return placed
-
-    async def finish(self, placed: Placement) -> None:
+            placement = await self.scheduler.place(work)
+            if isinstance(placement, Refusal):
+                return placement
+            await self.finish(placement)
+            if placement.outcome is Outcome.ANSWERED:
+                return placement
+            work.tried.append(placement.state.endpoint.name)
+            if not self.scheduler.may_retry(work, placement.outcome):
+                return placement
+
+    async def finish(self, placement: Placement) -> None:
         """Runs a call that has a place to its end."""
-        name = placed.state.endpoint.name
+        name = placement.state.endpoint.name
         if name in self.down:
-            with placed:
-                placed.outcome = Outcome.NOT_CONNECTED
+            with placement:
+                placement.outcome = Outcome.NOT_CONNECTED
             return
-        self.ran[name] += 1
-        with placed:
+        self.run_counts[name] += 1
+        with placement:
             if name in self.failing:
                 await asyncio.sleep(0.01)
-                placed.outcome = Outcome.BROKEN
+                placement.outcome = Outcome.BROKEN
                 return
-            placed.seconds = self.seconds[name]
-            placed.first_token_seconds = placed.seconds / 10
-            await asyncio.sleep(placed.seconds)
-            placed.prompt_tokens = placed.work.prompt_tokens
-            placed.cached_tokens = placed.cached_expected
-            placed.output_tokens = 20
-            placed.outcome = Outcome.ANSWERED
+            placement.seconds = self.seconds[name]
+            placement.first_token_seconds = placement.seconds / 10
+            await asyncio.sleep(placement.seconds)
+            placement.prompt_tokens = placement.work.prompt_tokens
+            placement.cached_tokens = placement.expected_cached_tokens
+            placement.output_tokens = 20
+            placement.outcome = Outcome.ANSWERED
 
 
 def chat_work(program: str, **fields: Any) -> Work:
     """Returns a call of a program's second turn, unless told otherwise."""
-    given = {"turn": 2, "klass": "default", "output_tokens": 20} | fields
+    given = {"turn": 2, "klass": "default", "max_output_tokens": 20} | fields
     return Work(program=program, model=MODEL, **given)
 
 
-def conversation(name: str, messages: int, tokens: int = 500) -> list:
+def conversation_prefixes(name: str, messages: int, tokens: int = 500) -> list:
     """Returns the prefixes of a conversation."""
     return [(f"{name}/{i}".encode(), tokens) for i in range(messages)]
 
 
-def with_target(seconds: float, **fields: Any) -> WorkClass:
+def class_with_target(seconds: float, **fields: Any) -> WorkClass:
     """Returns a class with a target."""
     return msgspec.structs.replace(
         WorkClass(), target_seconds=seconds, **fields
