--- a/libs/policy/src/rattanmill_policy/__init__.py
+++ b/libs/policy/src/rattanmill_policy/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions: which endpoint, when, how often again, and what not at all."""
+"""Scheduling policy: admission, placement, retries and endpoint health."""
 
 from rattanmill_policy.health import AspectState, Load
 from rattanmill_policy.knowledge import Rules
--- a/libs/policy/src/rattanmill_policy/admission.py
+++ b/libs/policy/src/rattanmill_policy/admission.py
@@ -1,4 +1,4 @@
-"""What may start: limits found by feedback, and refusals in time."""
+"""Admission control: adaptive concurrency limits and early refusal."""
 
 import math
 import random
@@ -32,18 +32,23 @@
 def next_limit(
     limit: float, in_flight: int, seconds: float, min_seconds: float
 ) -> float:
-    """Returns an endpoint's limit after an answer (gradient method).
+    """Returns an endpoint's concurrency limit after an answer.
+
+    Uses the gradient method: the limit shrinks as latency rises above the
+    minimum.
 
     Args:
-        limit: Limit so far.
-        in_flight: Calls there when the answer came, with its own.
-        seconds: Time the call took.
-        min_seconds: Time it would have taken at the best speed seen.
+        limit: Current limit, in calls.
+        in_flight: Calls in flight there when the answer arrived, including its
+            own.
+        seconds: Duration of the call.
+        min_seconds: Duration of the call at the best speed seen.
     """
     gradient = _LATENCY_TOLERANCE * min_seconds / max(seconds, 1e-6)
     gradient = min(1.0, max(_MIN_GRADIENT, gradient))
     if gradient == 1.0 and in_flight < limit / 2:
-        # The limit was not what kept it fast: nothing is learned from that.
+        # The endpoint was well below its limit, so a fast answer gives no
+        # reason to raise it.
         return limit
     target = limit * gradient + math.sqrt(limit) / 2
     limit += _EWMA_WEIGHT * (target - limit)
@@ -51,7 +56,7 @@
 
 
 class Rate:
-    """Events a second, over the last few seconds."""
+    """Events per second, as a decayed average of the last few seconds."""
 
     def __init__(self) -> None:
         self.count = 0.0
@@ -79,23 +84,23 @@
 
 
 class ProgramProfile:
-    """What programs of a class were like lately.
+    """Recent statistics of the programs of one class.
 
-    How many calls a program makes can't be told in advance. How many
-    programs reached each number of calls tells a quantile all the same,
-    and needs no sign of a program's end.
+    The number of calls of a program is not known in advance. Counting how many
+    programs reached each number of calls gives its quantiles without an
+    explicit signal that a program has ended.
 
     Attributes:
-        reached: Programs that reached each number of calls, decayed.
-        run: Seconds of a call at the best speeds seen, decayed mean.
-        pause: Seconds from a call's end to the program's next one.
-        output: Tokens of an answer, decayed mean.
+        reached: Programs that reached each number of calls, as a decayed count.
+        run: Seconds of a call at the best speeds seen, as a decayed mean.
+        pause: Seconds from the end of a call to the program's next call.
+        output: Tokens of an answer, as a decayed mean.
     """
 
     def __init__(self) -> None:
-        # Until programs were seen to their ends, one is assumed that goes on
-        # at each call: what has just begun looks as if it had one call only,
-        # and far too many would be admitted after a start.
+        # The prior is a program that continues after each call. Without it,
+        # programs that have just started would look as if they had one call
+        # only, and far too many would be admitted after a restart.
         self.reached = [0.0]
         self.reached += [
             _PRIOR_CONTINUE_PROBABILITY**number for number in range(_MAX_CALLS)
@@ -107,9 +112,10 @@
         self.updated_at = 0.0
 
     def record_call(self, number: int, now: float) -> None:
-        """Notes that a program makes its call ``number``, from 1."""
-        # Weights grow with time instead of old counts being shrunk; after a
-        # long pause only so far, since the power would overflow in half a day.
+        """Records that a program makes its call ``number``, counted from 1."""
+        # Increases the weight of new samples instead of shrinking old counts.
+        # The elapsed time is capped, since the exponential would overflow after
+        # half a day without calls.
         elapsed = (now - (self.updated_at or now)) / _DECAY_SECONDS
         self.weight *= math.exp(min(elapsed, _MAX_DECAYS))
         self.updated_at = now
@@ -119,14 +125,14 @@
             self.weight = 1.0
 
     def record_sample(self, name: str, value: float) -> None:
-        """Takes a sample of ``run``, ``pause`` or ``output``."""
+        """Records a sample of ``run``, ``pause`` or ``output``."""
         old = getattr(self, name)
         setattr(
             self, name, old + _EWMA_WEIGHT / 2 * (value - old) if old else value
         )
 
     def mean_calls(self) -> float:
-        """Returns the mean number of calls of a program."""
+        """Returns the mean number of calls per program."""
         if not self.reached[1]:
             return 1.0
         return max(1.0, sum(self.reached) / self.reached[1])
@@ -141,7 +147,13 @@
 
 
 class AdmissionDecision(msgspec.Struct):
-    """Whether a call may wait for a place, and else when to come back."""
+    """Whether a call is admitted to the queue, and if not, when to retry.
+
+    Attributes:
+        admitted: Whether the call is admitted.
+        cause: Why it is refused: ``share``, ``target`` or ``deadline``.
+        retry_after: Seconds after which to retry.
+    """
 
     admitted: bool
     cause: str = ""
@@ -152,15 +164,17 @@
 
 
 class ClassState:
-    """What admission knows of one class.
+    """Admission state of one class.
 
     Attributes:
-        shape: Shape of its programs.
-        admitted: Rate at which programs have begun.
-        next_return: Loop time given to the last that was refused.
-        delay: Wait of the last calls that ended, in seconds.
-        margin: Share of the allowed wait that is made use of. Found by
-            feedback, so that the target's percentile of programs is in time.
+        profile: Statistics of its programs.
+        admitted: Rate at which programs are admitted.
+        next_retry_at: Loop time of the retry assigned to the last refused
+            program.
+        mean_delay: Decayed mean delay of recently finished calls, in seconds.
+        delay_updated_at: Loop time of the last update of ``mean_delay``.
+        margin: Fraction of the allowed delay that is used. Adjusted by feedback
+            so that the target percentile of programs finishes in time.
     """
 
     def __init__(self) -> None:
@@ -174,18 +188,19 @@
     def record_call(
         self, delay: float, late: bool, klass: WorkClass, now: float
     ) -> None:
-        """Learns from a call that ended.
+        """Updates the delay and the margin after a call ended.
 
         Args:
-            delay: Seconds it took beyond its run.
-            late: Whether its program is past its target by now.
-            klass: The class's targets.
+            delay: Seconds that the call took beyond its run time.
+            late: Whether its program has exceeded its target.
+            klass: Targets of the class.
             now: Loop time.
         """
         self.mean_delay = self.recent_delay(now)
         self.mean_delay += _DELAY_EWMA_WEIGHT * (delay - self.mean_delay)
         self.delay_updated_at = now
-        # Both steps balance when just the share of late ones is as allowed.
+        # The two steps cancel out when the fraction of late programs equals the
+        # fraction that the target allows.
         on_time = klass.target_percent / 100
         factor = 1 - _MARGIN_STEP * on_time
         if not late:
@@ -193,17 +208,22 @@
         self.margin = min(1.0, max(_MIN_MARGIN, self.margin * factor))
 
     def recent_delay(self, now: float) -> float:
-        """Returns the wait of recent calls; forgotten when none end."""
+        """Returns the recent delay; it decays to 0 while no call ends."""
         return self.mean_delay * math.exp(
             (self.delay_updated_at - now) / _DELAY_DECAY_SECONDS
         )
 
 
 class Permits:
-    """Calls' worth of programs that may begin, by what ends meanwhile.
+    """Token bucket that limits program starts, counted in calls.
 
-    Shared by all classes of a model: what ends makes room once, not once for
-    each class.
+    Permits are earned as calls end. All classes of a model share one bucket: a
+    finished call makes room once, not once for each class.
+
+    Attributes:
+        balance: Calls that newly started programs may make; negative if
+            overdrawn.
+        updated_at: Loop time of the last update.
     """
 
     def __init__(self) -> None:
@@ -211,10 +231,16 @@
         self.updated_at = 0.0
 
     def try_acquire(self, cost: float, rate: float, now: float) -> bool:
-        """Lets a program of ``cost`` calls begin if any are left.
+        """Admits a program of ``cost`` calls if the balance is positive.
 
-        It may overdraw them: a class of long programs would else never find
-        enough, while short ones take them as they come.
+        The balance may become negative. Otherwise a class of long programs
+        would never find enough permits while short programs take them as they
+        are earned.
+
+        Args:
+            cost: Expected number of calls of the program.
+            rate: Calls that end per second.
+            now: Loop time.
         """
         earned = rate * (now - (self.updated_at or now))
         self.balance = min(_MAX_PERMITS, self.balance + earned)
@@ -228,13 +254,18 @@
 def allowed_delay(
     profile: ProgramProfile, klass: WorkClass, age: float = 0.0
 ) -> float:
-    """Returns the wait per call with which a program still meets its target.
+    """Returns the delay per call, in seconds, that still meets the target.
+
+    The target's percentile of calls must fit into the target. If it does not
+    fit even without any delay, a short delay is allowed, since refusing all
+    programs would be of no use. A program that has spent part of its time being
+    refused has less time left. If it were admitted like a new one, all programs
+    would start when they are almost late, and none would finish in time.
 
-    The target's percentile of calls must fit into it. Where even without
-    any wait they don't, a short wait is allowed: refusing all would help
-    nobody. A program that has spent part of its time on being refused has
-    less to spare. If it were admitted like a fresh one, all would begin when
-    they are nearly late, and none would be in time.
+    Args:
+        profile: Statistics of the class's programs.
+        klass: Targets of the class.
+        age: Seconds since the program was created.
     """
     call_count = profile.calls_percentile(klass.target_percent)
     pauses = (call_count - 1) * profile.pause
@@ -243,13 +274,13 @@
 
 
 class Admission:
-    """Admits programs, or refuses them at once.
+    """Admits new programs or refuses them immediately.
 
-    A program that is under way is refused only if its caller's deadline
-    can't be met: what it has had would be wasted.
+    A program that has already started is refused only if its caller's deadline
+    cannot be met, because the service it has received would be wasted.
 
     Args:
-        rng: Spreads times to come back.
+        rng: Source of jitter for retry times.
     """
 
     def __init__(self, rng: random.Random) -> None:
@@ -278,17 +309,18 @@
 
         Args:
             name: Class of work.
-            klass: Its targets.
-            permits: Of the model.
-            age: Seconds since the program was made.
-            delay: Expected wait of a call.
-            excess: What its workspace uses beyond its share, in shares.
-            completion_rate: Calls that end, a second.
+            klass: Targets of the class.
+            permits: Permits of the model.
+            age: Seconds since the program was created.
+            delay: Expected queueing delay of a call, in seconds.
+            excess: Usage of the workspace beyond its fair share, in fair
+                shares.
+            completion_rate: Calls that end per second.
             now: Loop time.
         """
         state = self.class_state(name)
         allowed = allowed_delay(state.profile, klass, age) * state.margin
-        # A workspace over its share makes room for the others first.
+        # Workspaces that exceed their fair share are refused first.
         allowed /= 1 + excess
         delay = max(delay, state.recent_delay(now))
         fill = delay / max(allowed, _MIN_ALLOWED_SECONDS)
@@ -307,13 +339,14 @@
         completion_rate: float,
         now: float,
     ) -> bool:
-        """Decides by how much of the allowed wait is used up.
-
-        A program adds load for all its life, not only now. If all were
-        admitted until the wait is too long, and none until it is short
-        again, the load would swing far beyond what can be in time. So,
-        between, programs begin at a rate: twice that at which others end
-        when half the wait is used up, the same when all is, none at 1.5.
+        """Decides by the fraction of the allowed delay that is in use.
+
+        A program adds load for its whole lifetime. If all programs were
+        admitted until the delay is too long, and none until it is short again,
+        the load would oscillate far beyond what can finish in time. Between
+        these two states programs are therefore admitted at a rate: twice the
+        rate at which others end when half of the allowed delay is used, the
+        same rate when all of it is used, and 0 at 1.5.
         """
         if fill < _UNRESTRICTED_FILL:
             return True
@@ -324,7 +357,12 @@
     def check_deadline(
         self, delay: float, remaining: float
     ) -> AdmissionDecision:
-        """Decides on a call of a program that is under way."""
+        """Decides on a call of a program that has already started.
+
+        Args:
+            delay: Expected queueing delay, in seconds.
+            remaining: Seconds until the caller's deadline.
+        """
         if delay <= remaining:
             return _ADMITTED
         return AdmissionDecision(
@@ -334,11 +372,11 @@
     def _retry_after(
         self, state: ClassState, klass: WorkClass, excess: float, now: float
     ) -> float:
-        """Returns seconds after which a place is likely.
+        """Returns the seconds after which admission is likely.
 
-        All that are refused in the same second would come back together and
-        be refused again. Each gets a time of its own, as far from the one
-        before as programs are admitted one after the other.
+        Programs refused within the same second would otherwise all retry
+        together and be refused again. Each gets its own time, spaced by the
+        interval at which programs are admitted.
         """
         rate = max(state.admitted.per_second(now), 0.1)
         earliest = now + max(_MIN_RETRY_AFTER_SECONDS, excess)
--- a/libs/policy/src/rattanmill_policy/candidates.py
+++ b/libs/policy/src/rattanmill_policy/candidates.py
@@ -1,4 +1,4 @@
-"""The few endpoints that a decision looks at, however many there are."""
+"""Selects the bounded set of endpoints that a placement decision compares."""
 
 import asyncio
 import random
@@ -17,7 +17,7 @@
 
 
 class _Pool:
-    """Endpoints of one model or service, as last read from the table."""
+    """Endpoints of one model or service, cached from the endpoint table."""
 
     def __init__(self) -> None:
         self.names: list[str] = []
@@ -27,16 +27,16 @@
 
 
 class Candidates:
-    """Chooses which endpoints to compare.
+    """Selects which endpoints to compare.
 
-    A small pool is compared as a whole. Of a large one, those that hold a
-    prefix of the prompt, its home endpoints, and a few at random: the best
-    of eight at random is nearly as good as the best of all (power of d
-    choices), and instances don't all rush to the same one. So the time of a
-    decision doesn't grow with the pool.
+    A small pool is compared as a whole. Of a large pool, the endpoints that
+    hold a prefix of the prompt, its home endpoints and a few at random are
+    compared. The best of eight random endpoints is nearly as good as the best
+    of all (power of d choices), and instances do not all select the same one.
+    The time of a decision therefore does not grow with the pool.
 
     Args:
-        table: Endpoints known.
+        table: Known endpoints.
         rng: Draws the sample.
     """
 
@@ -47,7 +47,7 @@
         self.stats: dict[str, EndpointStats] = {}
 
     def names_for(self, work: Work) -> list[str]:
-        """Returns names of all endpoints for a call, as last read."""
+        """Returns all endpoint names for a call, from the cached pool."""
         now = asyncio.get_running_loop().time()
         if work.group not in self.pools and not self._is_served(work):
             return []
@@ -62,9 +62,10 @@
         return pool.names
 
     def _is_served(self, work: Work) -> bool:
-        """Whether any endpoint, open or not, is for such calls.
+        """Returns whether any endpoint, open or not, serves such calls.
 
-        Names come from callers. A pool for each would fill the memory.
+        Models and services are named by callers. Creating a pool for each name
+        would use unbounded memory.
         """
         if work.model:
             return self.table.knows_model(work.model)
@@ -85,8 +86,9 @@
         names = [state.endpoint.name for state in found]
         pool.refreshed_at = now
         if len(self.stats) > 2 * len(self.table.states) + _COMPARE_ALL_LIMIT:
-            # Endpoints are replaced all the time; what is known of those
-            # that have gone would pile up for as long as the process lives.
+            # Endpoints are replaced regularly. Without this, the statistics of
+            # removed endpoints would accumulate for the lifetime of the
+            # process.
             self.stats = {
                 name: stats
                 for name, stats in self.stats.items()
@@ -97,11 +99,11 @@
             pool.ring.update(set(names))
 
     def fleet(self, group: str) -> SpeedEstimate:
-        """Returns the speed of all endpoints of a group taken together."""
+        """Returns the speed of all endpoints of a group combined."""
         return self._pool(group).fleet
 
     def stats_of(self, state: EndpointState) -> EndpointStats:
-        """Returns what is known of an endpoint."""
+        """Returns the statistics of an endpoint."""
         name = state.endpoint.name
         stats = self.stats.get(name)
         if stats is None:
@@ -113,7 +115,13 @@
         return self._pool(group).ring.homes(digest, count)
 
     def select(self, work: Work, cached: Iterable[str]) -> list[EndpointState]:
-        """Returns the endpoints to compare; untried ones if there are any."""
+        """Returns the endpoints to compare, preferring those not tried yet.
+
+        Args:
+            work: The call.
+            cached: Names of endpoints that probably have a prefix of its
+                prompt.
+        """
         names = self.names_for(work)
         if len(names) > _COMPARE_ALL_LIMIT:
             sample = self.rng.sample(names, _SAMPLE_SIZE)
@@ -123,7 +131,7 @@
         return untried or found
 
     def _open_state(self, name: str) -> EndpointState | None:
-        """Returns an endpoint if it may take work at this moment."""
+        """Returns the state of an endpoint if it accepts work now."""
         state = self.table.states.get(name)
         if state is None or name in self.table.drained:
             return None
--- a/libs/policy/src/rattanmill_policy/choosing.py
+++ b/libs/policy/src/rattanmill_policy/choosing.py
@@ -1,4 +1,4 @@
-"""Chooses the endpoint at which a call should finish first."""
+"""Chooses the endpoint at which a call is expected to finish first."""
 
 import msgspec
 
@@ -19,10 +19,14 @@
 
 
 class Choice(msgspec.Struct):
-    """An endpoint and what a call would cost there.
+    """An endpoint and the estimated cost of a call there.
 
     Attributes:
-        holding: Prefix of the prompt that it should have cached, if any.
+        state: State of the endpoint.
+        stats: Statistics of the endpoint.
+        estimate: Estimated cost of the call.
+        cached_prefix: Prefix of the prompt that the endpoint should have
+            cached, or None.
     """
 
     state: EndpointState
@@ -32,7 +36,7 @@
 
     @property
     def reason(self) -> str:
-        """What spoke for it, for the counters."""
+        """Value of the ``by`` label of the placement counter."""
         if self.cached_prefix is None:
             return "speed"
         return "cache" if self.cached_prefix.last_used else "home"
@@ -41,9 +45,9 @@
 def choose(
     scheduler_state: SchedulerState, work: Work, now: float
 ) -> Choice | None:
-    """Returns the best endpoint now, whether or not it has a free place.
+    """Returns the best endpoint now, whether or not it has a free slot.
 
-    None if no endpoint takes work.
+    Returns None if no endpoint accepts work.
     """
     cached = cached_prefixes(scheduler_state, work)
     states = scheduler_state.candidates.select(work, cached)
@@ -67,10 +71,11 @@
 def cached_prefixes(
     scheduler_state: SchedulerState, work: Work
 ) -> dict[str, CachedPrefix]:
-    """Returns what endpoints should have cached of a prompt.
+    """Returns the prompt prefixes that endpoints should have cached, by name.
 
-    What this instance sent where; for the rest, prefixes are taken to be at
-    home, as the other instances place by the same homes.
+    These are the prefixes that this instance sent to an endpoint. Any other
+    prefix is assumed to be cached at its home endpoints, since the other
+    instances place calls by the same homes.
     """
     if not scheduler_state.rules.prefixes or not work.model:
         return {}
--- a/libs/policy/src/rattanmill_policy/fairness.py
+++ b/libs/policy/src/rattanmill_policy/fairness.py
@@ -1,4 +1,4 @@
-"""How much more than its share a workspace uses."""
+"""Fair shares of workspaces, and by how much a workspace exceeds its share."""
 
 import collections
 import math
@@ -10,10 +10,17 @@
 
 
 class WorkspaceShares:
-    """Service that workspaces have had lately, in decayed seconds.
+    """Recent service per workspace, in exponentially decayed seconds.
 
-    An even share is what each workspace that is active would have had. A
-    workspace alone is never over its share.
+    The fair share is the total service divided by the number of active
+    workspaces. A workspace that is active alone never exceeds its share.
+
+    Attributes:
+        usage: Decayed seconds of service and loop time of the update, by
+            workspace.
+        fair_share: Fair share, in decayed seconds.
+        counted_at: Loop time at which ``fair_share`` was last computed.
+        has_several_active: Whether more than one workspace is active.
     """
 
     def __init__(self) -> None:
@@ -25,7 +32,7 @@
         self.has_several_active = False
 
     def charge(self, workspace: str, seconds: float, now: float) -> None:
-        """Notes service given to a workspace."""
+        """Adds seconds of service to a workspace."""
         self.usage[workspace] = (
             self._decayed_usage(workspace, now) + seconds,
             now,
@@ -35,7 +42,7 @@
             self.usage.popitem(last=False)
 
     def excess(self, workspace: str, now: float) -> float:
-        """Returns use beyond the even share, in even shares; 0 if within."""
+        """Returns the usage above the fair share, in fair shares, or 0."""
         self._recount(now)
         if not self.has_several_active or self.fair_share <= 0:
             return 0.0
--- a/libs/policy/src/rattanmill_policy/health.py
+++ b/libs/policy/src/rattanmill_policy/health.py
@@ -1,11 +1,11 @@
-"""Whether an endpoint may get new work: marks, holds and gradual return.
-
-Two marks answer two questions, see ``Aspect``. A mark carries a generation, a
-hybrid logical clock: higher than all that were seen and at least the time in
-milliseconds. It grows with each change, and of two notes the one with the
-higher generation holds. So an instance that was paused, or has just been
-started, can neither bring back an endpoint that left meanwhile nor have its
-own fresh sign taken for a stale one.
+"""Endpoint health: closing, reopening with backoff, and gradual ramp-up.
+
+The state of each aspect, see ``Aspect``, carries a generation. The generation
+is a hybrid logical clock: it increases with each change, is higher than all
+that were seen and is at least the time in milliseconds. Of two notes the one
+with the higher generation wins. An instance that was paused therefore cannot
+reopen an endpoint that left in the meantime, and a change made by an instance
+that has just started is not mistaken for a stale one.
 """
 
 import time
@@ -22,18 +22,18 @@
 
 
 class Load(msgspec.Struct):
-    """What an engine reports of itself; lags.
+    """Load that an engine reports; it lags behind the actual load.
 
     Attributes:
         waiting: Calls in its queue.
         running: Calls in its batch.
-        slots: Most calls in a batch.
-        queued_tokens: Tokens still to be computed for all of these.
+        slots: Maximum number of calls in a batch.
+        queued_tokens: Tokens still to be computed for all of these calls.
         cache_tokens: Tokens in its prefix cache.
-        pinned_tokens: Of these, tokens held by pins.
-        models: Models loaded.
-        role: Its role.
-        draining: Whether it is leaving.
+        pinned_tokens: Tokens of the prefix cache that are held by pins.
+        models: Loaded models.
+        role: Role of the engine.
+        draining: Whether the engine is leaving.
     """
 
     waiting: int = 0
@@ -48,16 +48,17 @@
 
 
 class AspectState:
-    """One aspect of one endpoint.
+    """State of one aspect of one endpoint.
 
     Attributes:
-        aspect: Which.
-        generation: Of the last change.
-        closed: Whether it keeps new work away.
-        sign: What made the last change.
-        changed_at: Loop time of the last change, as seen here.
-        hold_seconds: How long probes must be good before it opens again.
-        good_since: Loop time of the first of the latest good probes.
+        aspect: The aspect.
+        generation: Generation of the last change.
+        closed: Whether the endpoint gets no new work.
+        sign: Reason for the last change.
+        changed_at: Loop time of the last change seen by this instance.
+        hold_seconds: Time for which probes must succeed before it reopens.
+        healthy_since: Loop time of the first of the current run of successful
+            probes, or None.
     """
 
     def __init__(self, aspect: Aspect) -> None:
@@ -70,18 +71,18 @@
         self.healthy_since: float | None = None
 
     def close(self, sign: Sign, now: float) -> bool:
-        """Keeps new work away; False if it did so already."""
+        """Stops new work; returns False if it was already closed."""
         return not self.closed and self._change(True, sign, now)
 
     def reopen(self, now: float) -> bool:
-        """Lets work in again; False if it was open."""
+        """Allows new work again; returns False if it was already open."""
         return self.closed and self._change(False, Sign.RETURNED, now)
 
     def merge(self, note: EndpointNote, now: float) -> bool:
-        """Takes what another instance saw; True if that changes the state.
+        """Merges a note of another instance; returns whether the state changed.
 
-        At the same generation closed wins: two instances that changed it at
-        the same time come to the same result in either order.
+        At the same generation closed wins, so that two instances that changed
+        it at the same time reach the same state in either order.
         """
         if note.generation < self.generation:
             return False
@@ -97,7 +98,7 @@
         return changed
 
     def record_probe(self, healthy: bool, now: float) -> bool:
-        """Learns of a probe; True if it has been good for long enough."""
+        """Records a probe; returns whether probes succeeded for long enough."""
         if not healthy:
             self.healthy_since = None
             return False
@@ -106,10 +107,11 @@
         return self.closed and now - self.healthy_since >= self.hold_seconds
 
     def ramp_limit(self, now: float) -> int | None:
-        """Most calls at a time after a return; None if there is no limit.
+        """Returns the maximum concurrency after reopening; None if unlimited.
 
-        An endpoint that comes back is cold and may fail again: all work that
-        waits for it at once would be lost or would break it again.
+        An endpoint that reopens is cold and may fail again. If it got all
+        waiting work at once, that work would be lost or would overload it
+        again.
         """
         steps = (now - self.changed_at) / _RAMP_STEP_SECONDS
         return 2 ** int(steps) if steps < _RAMP_STEPS else None
@@ -131,7 +133,7 @@
         self.healthy_since = None
 
     def to_note(self, endpoint: str) -> EndpointNote:
-        """Returns what other instances should know."""
+        """Returns the note that is sent to other instances."""
         return EndpointNote(
             endpoint, self.aspect, self.generation, self.closed, self.sign
         )
--- a/libs/policy/src/rattanmill_policy/knowledge.py
+++ b/libs/policy/src/rattanmill_policy/knowledge.py
@@ -1,4 +1,4 @@
-"""All that an instance's decisions rest on."""
+"""State of the scheduler on which all decisions of an instance are based."""
 
 import random
 from collections.abc import Callable
@@ -18,16 +18,21 @@
 
 
 class Rules(msgspec.Struct, frozen=True):
-    """Which rules are in force; all, but for measuring what each is worth.
+    """Scheduling rules in force.
+
+    All rules are enabled in production. Benchmarks disable individual rules to
+    measure the effect of each.
 
     Attributes:
-        speeds: Speeds are learned; else all endpoints count as equal.
-        prefixes: Cached prefixes count.
-        reports: Load reports count.
-        order: Calls wait by deadline; else in the order they came.
-        admission: What cannot meet its target is refused.
-        shares: Workspaces over their share go later.
-        budget: Retries have a budget.
+        speeds: Learn the speed of each endpoint; otherwise all endpoints are
+            treated as equal.
+        prefixes: Take cached prefixes into account.
+        reports: Take load reports into account.
+        order: Order waiting calls by deadline; otherwise first come, first
+            served.
+        admission: Refuse programs that cannot meet their target.
+        shares: Defer workspaces that exceed their fair share.
+        budget: Limit retries by a budget.
     """
 
     speeds: bool = True
@@ -40,12 +45,12 @@
 
 
 class EndpointGroup:
-    """What is served by the same endpoints.
+    """State shared by all calls that the same endpoints serve.
 
     Attributes:
-        waiting: Waiting calls, first to go first.
-        finished: Rate of calls that end.
-        permits: Programs that may begin.
+        waiting: Waiting calls, ordered by deadline.
+        completions: Rate at which calls end.
+        permits: Permits for program starts.
     """
 
     def __init__(self) -> None:
@@ -55,13 +60,13 @@
 
 
 class SchedulerState:
-    """State of the scheduler, and simple questions to it.
+    """State of the scheduler, with simple queries.
 
     Args:
-        table: Endpoints known.
+        table: Known endpoints.
         config: Returns the operators' configuration in force.
         rules: Rules in force.
-        rng: Source of what is random.
+        rng: Random number generator.
     """
 
     def __init__(
@@ -83,25 +88,25 @@
         self.groups: dict[str, EndpointGroup] = {}
 
     def class_name(self, work: Work) -> str:
-        """Returns the class of a call; the default if it has gone."""
+        """Returns the class of a call, or the default if it was removed."""
         document = self.config()
         is_known = work.klass in document.classes
         return work.klass if is_known else document.default_class
 
     def class_of(self, work: Work) -> WorkClass:
-        """Returns the targets of a call's class, as in force now."""
+        """Returns the current targets of a call's class."""
         return self.config().classes[self.class_name(work)]
 
     def group_of(self, work: Work) -> EndpointGroup:
-        """Returns what a call waits with."""
+        """Returns the endpoint group of a call."""
         return self.groups.setdefault(work.group, EndpointGroup())
 
     def usage_of(self, work: Work, now: float) -> ProgramUsage:
-        """Returns what a call's program has had."""
+        """Returns the service used by a call's program."""
         return self.programs.usage_of(work, now)
 
     def excess(self, work: Work, now: float) -> float:
-        """Returns what its workspace uses beyond its share, in shares."""
+        """Returns the workspace's usage above its share, in fair shares."""
         if not self.rules.shares:
             return 0.0
         return self.shares.excess(work.workspace, now)
--- a/libs/policy/src/rattanmill_policy/learning.py
+++ b/libs/policy/src/rattanmill_policy/learning.py
@@ -1,4 +1,4 @@
-"""What an attempt that ended teaches."""
+"""Updates the scheduler state after an attempt."""
 
 from rattanmill_policy.admission import next_limit
 from rattanmill_policy.knowledge import SchedulerState
@@ -10,7 +10,7 @@
 def record_attempt(
     scheduler_state: SchedulerState, placement: Placement, now: float
 ) -> None:
-    """Learns from an attempt that ended, well or not."""
+    """Updates the state after an attempt ended, whether it succeeded or not."""
     work = placement.work
     stats = scheduler_state.candidates.stats_of(placement.state)
     stats.started.pop(id(placement), None)
@@ -22,7 +22,8 @@
     if placement.outcome is Outcome.ANSWERED:
         _record_answer(scheduler_state, placement, stats, now)
     elif placement.outcome is Outcome.NOT_CONNECTED:
-        # Nothing listens there: the process has gone, and with it its cache.
+        # The connection was refused: the process is gone, and its cache with
+        # it.
         scheduler_state.prefixes.forget_endpoint(
             placement.state.endpoint.name, now
         )
@@ -64,11 +65,11 @@
     output: int,
     now: float,
 ) -> None:
-    """Learns what programs of a class are like, and how long calls wait.
+    """Updates the profile of a class and the delay of its calls.
 
-    All beyond the least time counts as waiting. Measured against the usual
-    time under load, calls would seem to wait less the busier it is, and
-    programs would be admitted that cannot be in time.
+    All time beyond the minimum counts as delay. If the delay were measured
+    against the usual time under load, it would seem to shrink as load grows,
+    and programs would be admitted that cannot finish in time.
     """
     klass = scheduler_state.class_of(work)
     state = scheduler_state.admission.class_state(
--- a/libs/policy/src/rattanmill_policy/loads.py
+++ b/libs/policy/src/rattanmill_policy/loads.py
@@ -1,4 +1,4 @@
-"""Reads engines' load reports, at a rate that does not grow with the fleet."""
+"""Polls engines for load reports, at a rate independent of the fleet size."""
 
 import asyncio
 import contextlib
@@ -12,17 +12,17 @@
 from rattanmill_policy.scheduler import Scheduler
 from rattanmill_policy.speeds import LoadReport
 
-# With headers a report is about 500 bytes: 2 KB a second at most.
+# A report is about 500 bytes with headers, so polling uses at most 2 KB/s.
 _POLL_INTERVAL_SECONDS = 0.25
 _RECENT_USE_SECONDS = 10.0
 _TIMEOUT_SECONDS = 2.0
 
 
 class LoadPoller:
-    """Asks the engines in use for their load, the longest unasked first.
+    """Polls the engines in use, the least recently polled first.
 
     Args:
-        scheduler: Gets the reports.
+        scheduler: Receives the reports.
         session: HTTP session of the process.
     """
 
--- a/libs/policy/src/rattanmill_policy/outcome.py
+++ b/libs/policy/src/rattanmill_policy/outcome.py
@@ -1,10 +1,10 @@
-"""How an attempt at an endpoint can end."""
+"""Outcomes of an attempt at an endpoint."""
 
 import enum
 
 
 class Outcome(enum.StrEnum):
-    """How an attempt at an endpoint ended."""
+    """Outcome of an attempt at an endpoint."""
 
     ANSWERED = "answered"
     NOT_CONNECTED = "not_connected"
--- a/libs/policy/src/rattanmill_policy/placement.py
+++ b/libs/policy/src/rattanmill_policy/placement.py
@@ -1,8 +1,9 @@
-"""Which endpoint a call goes to: the one where it should finish first.
+"""Estimates the cost of a call at an endpoint.
 
 Expected finish = time to get a slot + uncached prompt * prefill speed +
-expected answer * decode speed. To this comes the price of lost cache, which
-follows from the class's target alone; see docs/design/decisions.md.
+expected answer * decode speed. The cost adds a price for recomputing cache that
+another endpoint holds. This price depends only on the class's target; see
+docs/design/decisions.md.
 """
 
 import msgspec
@@ -12,13 +13,14 @@
 
 
 class PlacementRequest(msgspec.Struct):
-    """A call as placement sees it.
+    """The properties of a call that placement uses.
 
     Attributes:
-        prompt_tokens: Whole prompt.
-        output_tokens: Answer, as expected.
-        best_cached: Longest prefix of the prompt known at any endpoint.
-        cache_price: Factor on the time to compute lost cache again.
+        prompt_tokens: Tokens of the whole prompt.
+        output_tokens: Expected tokens of the answer.
+        max_cached_tokens: Tokens of the longest prefix of the prompt that any
+            endpoint is known to have cached.
+        cache_price: Factor on the time to recompute cached tokens.
         is_chat: Whether it is a model call.
     """
 
@@ -30,12 +32,13 @@
 
 
 class Estimate(msgspec.Struct):
-    """What a call would cost at one endpoint.
+    """Estimated cost of a call at one endpoint.
 
     Attributes:
         wait: Seconds until it gets a slot.
-        run: Seconds from then on.
-        cost: Seconds, with the price of lost cache; what is compared.
+        run: Seconds from getting the slot to the end of the answer.
+        cost: Seconds including the price of recomputed cache; used to compare
+            endpoints.
     """
 
     wait: float
@@ -44,18 +47,18 @@
 
     @property
     def seconds(self) -> float:
-        """Expected time until the answer is whole."""
+        """Expected seconds until the answer is complete."""
         return self.wait + self.run
 
 
 def cache_price(klass: WorkClass, age_seconds: float) -> float:
-    """Returns the factor on the time to compute lost cache again.
+    """Returns the factor on the time to recompute cached tokens.
 
-    Computing a token again costs its own time, which the expected finish
-    holds already, and the cache and time of others. A class that allows a
-    share S of its prompt tokens to be computed again prices one at 1/S of
-    its time in all. The closer a program is to its target, the less it pays
-    for others: at its target it goes where it finishes first.
+    Recomputing a token costs its own time, which the expected finish already
+    includes, and also cache and time of other calls. A class that allows a
+    fraction S of its prompt tokens to be recomputed prices each at 1/S of its
+    time in total. The closer a program is to its target, the less it pays for
+    other calls; at its target it goes where it finishes first.
     """
     slack = max(0.0, 1 - age_seconds / klass.target_seconds)
     return (1 / klass.wasted_cache_share - 1) * slack
@@ -69,7 +72,16 @@
     cached_tokens: int,
     now: float,
 ) -> Estimate:
-    """Returns what a call would cost at one endpoint."""
+    """Returns the estimated cost of a call at one endpoint.
+
+    Args:
+        stats: Statistics of the endpoint.
+        speed: Speeds of the endpoint.
+        in_flight: Calls of this instance in flight there.
+        request: The call.
+        cached_tokens: Tokens of the prompt that it should have cached.
+        now: Loop time.
+    """
     if not request.is_chat:
         wait = in_flight * speed.call
         overdue = stats.overdue_factor(now)
@@ -79,17 +91,17 @@
     cached_tokens = min(cached_tokens, request.prompt_tokens)
     uncached_tokens = request.prompt_tokens - cached_tokens
     run = uncached_tokens * speed.prefill + request.output_tokens * speed.decode
-    # Calls that are there share its prefill and decode with this one; until
-    # its slots are full that is in the measured speed already.
+    # Active calls share prefill and decode with this one. Until the slots are
+    # full, the measured speed already includes their effect.
     active = in_flight + stats.others
     slots = stats.slots or max(1.0, stats.limit)
     wait = max(0.0, active + 1 - slots) / slots * run
-    # Beyond our own limit a call waits here. If that counted as no wait, a
-    # full endpoint would look as good as a free one, and calls would queue
-    # for it while others idle.
+    # Calls beyond this instance's own limit wait in its queue. If that counted
+    # as no wait, a full endpoint would look as good as a free one, and calls
+    # would queue for it while others are idle.
     own_wait = max(0.0, in_flight + 1 - stats.limit) / stats.limit * run
     wait = max(wait, own_wait)
-    # Among endpoints with free slots the emptier one finishes sooner.
+    # Among endpoints with free slots, the least loaded one finishes first.
     crowding = 1 + 0.25 * min(1.0, active / slots)
     overdue = stats.overdue_factor(now)
     recompute = (
--- a/libs/policy/src/rattanmill_policy/prefixes.py
+++ b/libs/policy/src/rattanmill_policy/prefixes.py
@@ -1,6 +1,7 @@
-"""Which endpoint has which prompt prefix in its cache, as far as we know.
+"""Tracks which endpoint is believed to have which prompt prefix in its cache.
 
-What an answer's ``cached_tokens`` says is the truth; all else is a guess.
+The ``cached_tokens`` of an answer is authoritative; everything else is an
+estimate.
 """
 
 import collections
@@ -19,11 +20,11 @@
 
 
 class CachedPrefix(msgspec.Struct):
-    """A prefix held by an endpoint.
+    """A prompt prefix cached at an endpoint.
 
     Attributes:
         tokens: Length of the prefix.
-        since: Loop time of its last use there; 0 for a guess.
+        last_used: Loop time of its last use there; 0 for an estimate.
     """
 
     tokens: int
@@ -31,17 +32,19 @@
 
 
 class PrefixMap:
-    """Prefixes sent to endpoints by this instance.
+    """Prefixes that this instance sent to endpoints.
 
-    Engines drop the least recently used prefix first. So when an endpoint
-    turns out to have dropped a prefix last used at time T, it has dropped
-    all that were not used since T, and one number per endpoint corrects
-    everything we believe of it.
+    Engines evict the least recently used prefix first. If an endpoint has
+    evicted a prefix last used at time T, it has also evicted all prefixes not
+    used since T. One timestamp per endpoint therefore corrects all entries of
+    that endpoint.
 
     Attributes:
-        dropped: For an endpoint, the last use up to which all is dropped.
-        guess: Share of prefixes that were found cached at their home
-            endpoint though this instance had not sent them there.
+        holders: Loop time of the last use by endpoint name, for each prefix.
+        evicted_until: Loop time by endpoint name; prefixes last used up to it
+            are evicted.
+        home_hit_rate: Fraction of prefixes that were cached at their home
+            endpoint although this instance had not sent them there.
     """
 
     def __init__(self) -> None:
@@ -52,7 +55,7 @@
         self.home_hit_rate = 1.0
 
     def find(self, work: Work) -> dict[str, CachedPrefix]:
-        """Returns the longest prefix known at each of a few endpoints."""
+        """Returns the longest known prefix at each of a few endpoints."""
         found: dict[str, CachedPrefix] = {}
         tokens = sum(tokens for _, tokens in work.prefixes)
         for digest, own in reversed(work.prefixes):
@@ -66,7 +69,7 @@
         return found
 
     def record_prompt(self, work: Work, name: str, now: float) -> None:
-        """Notes that an endpoint gets a prompt and so has its prefixes."""
+        """Records that an endpoint receives a prompt and will cache it."""
         kept = itertools.chain(
             work.prefixes[:_LEADING_PREFIXES],
             work.prefixes[
@@ -77,7 +80,8 @@
         )
         for digest, _ in kept:
             names = self.holders.setdefault(digest, {})
-            # The latest user goes last: the oldest is forgotten first.
+            # Reinserts the name as the newest, so that the oldest is removed
+            # first.
             names.pop(name, None)
             names[name] = now
             if len(names) > _MAX_HOLDERS:
@@ -89,7 +93,15 @@
     def record_answer(
         self, name: str, expected: int, last_used: float, cached: int
     ) -> None:
-        """Corrects the map by what an answer says was cached."""
+        """Corrects the map with the number of cached tokens in an answer.
+
+        Args:
+            name: Name of the endpoint.
+            expected: Tokens that were expected to be cached.
+            last_used: Loop time of the prefix's last use there; 0 for an
+                estimate.
+            cached: Tokens that were cached.
+        """
         if not expected:
             return
         hit = cached >= expected / 2
@@ -104,14 +116,18 @@
             del self.evicted_until[name]
 
     def forget_endpoint(self, name: str, now: float) -> None:
-        """An endpoint lost all its cache, as one that crashed does."""
+        """Discards the prefixes of an endpoint that lost its cache.
+
+        This is the case after a crash.
+        """
         self.evicted_until[name] = now
 
 
 def home_prefix(work: Work) -> tuple[bytes, int] | None:
-    """Returns digest and tokens of the prefix others are likely to share.
+    """Returns digest and tokens of the prefix that other calls likely share.
 
-    That is all but the last message, which holds the question.
+    This is all but the last message, which contains the question. Returns None
+    if the prompt has fewer than two messages.
     """
     if len(work.prefixes) < 2:
         return None
--- a/libs/policy/src/rattanmill_policy/quarantine.py
+++ b/libs/policy/src/rattanmill_policy/quarantine.py
@@ -1,10 +1,11 @@
-"""Requests that crash the endpoints which run them.
-
-A request is suspected when an endpoint crashed with it in flight, and so are
-all that were in flight beside it. It is condemned when an endpoint crashed a
-second time with it in flight and no other request that was suspected already
-was there: of several suspects only one may be to blame. A finished run clears
-a suspect. Each instance holds all of this, so it outlives any of them.
+"""Quarantine of requests that crash the endpoints that run them.
+
+A request becomes a suspect when an endpoint crashes while it is in flight, and
+so do all requests in flight beside it. A suspect is quarantined when an
+endpoint crashes a second time with it in flight and no other request that was
+already suspected was in flight there: if there were several suspects, only one
+of them may be the cause. A completed run clears a suspect. Every instance
+replicates these records, so they survive the loss of any instance.
 """
 
 import time
@@ -13,23 +14,24 @@
 
 from rattanmill_core import CrashNote
 
-# Reports of one crash by several instances are that close together.
+# Maximum time between reports of the same crash by different instances.
 _SAME_CRASH_MS = 2_000
 _QUARANTINE_MS = 3_600_000
 _SUSPECT_RETENTION_MS = 24 * 3_600_000
 _MAX_SUSPECTS = 10_000
 _MIN_CRASHES = 2
-# So many crashes condemn a request, whatever was in flight beside it.
+# This many crashes quarantine a request regardless of what else was in flight.
 _CONCLUSIVE_CRASHES = 4
 
 
 class Suspect(msgspec.Struct):
-    """What is held against one request.
+    """Crash history of one request.
 
     Attributes:
-        crashes: In order of time.
-        cleared_at: Time of a finished run, in milliseconds, or 0.
-        condemned: Whether these crashes were found to condemn it.
+        crashes: Crashes, ordered by time.
+        cleared_at: Time of a completed run, in milliseconds, or 0.
+        quarantined: Whether these crashes were found sufficient to quarantine
+            it.
     """
 
     crashes: list[CrashNote] = msgspec.field(default_factory=list)
@@ -38,16 +40,17 @@
 
     @property
     def last_event_at(self) -> int:
-        """Time of the last event."""
+        """Time of the last event, in milliseconds."""
         return max([self.cleared_at, *(c.at for c in self.crashes)])
 
 
 class Quarantine:
-    """Suspected requests by fingerprint, as many as are kept.
+    """Bounded set of suspected requests, by fingerprint.
 
     Args:
-        least_crashes: Crashes without which no request is condemned.
-        condemned_ms: How long after its last crash it stays condemned.
+        min_crashes: Minimum number of crashes before a request is quarantined.
+        quarantine_ms: Milliseconds after its last crash for which a request
+            stays quarantined.
     """
 
     def __init__(
@@ -60,10 +63,10 @@
         self.suspects: dict[bytes, Suspect] = {}
 
     def record(self, note: CrashNote) -> bool:
-        """Takes a crash or a finished run; True if it was news."""
+        """Records a crash or a completed run; returns whether it was new."""
         suspect = self.suspects.get(note.fingerprint)
         if suspect is None:
-            self._make_room()
+            self._evict_oldest()
             suspect = Suspect()
             self.suspects[note.fingerprint] = suspect
         if not note.endpoint:
@@ -77,22 +80,23 @@
         return True
 
     def is_suspected(self, fingerprint: bytes) -> bool:
-        """Whether an endpoint crashed with this request in flight."""
-        suspect = self._fresh(fingerprint)
+        """Returns whether an endpoint crashed with this request in flight."""
+        suspect = self._unexpired(fingerprint)
         return suspect is not None and bool(suspect.crashes)
 
     def is_quarantined(self, fingerprint: bytes) -> bool:
-        """Whether the request must not run.
+        """Returns whether the request must not run.
 
-        That ends some time after the last crash. The request is still
-        suspected for a day, so that its next crash condemns it at once.
+        The quarantine ends some time after the last crash. The request stays a
+        suspect for a day, so that its next crash quarantines it again at once.
         """
-        suspect = self._fresh(fingerprint)
+        suspect = self._unexpired(fingerprint)
         if suspect is None or len(suspect.crashes) < self.min_crashes:
             return False
         if _now_ms() - suspect.crashes[-1].at > self.quarantine_ms:
             return False
-        # Kept, since a storm of repeats must not search all suspects each.
+        # Cached, so that a burst of repeats does not search all suspects for
+        # each request.
         suspect.quarantined = (
             suspect.quarantined
             or len(suspect.crashes) >= _CONCLUSIVE_CRASHES
@@ -101,11 +105,11 @@
         return suspect.quarantined
 
     def retry_position(self, fingerprint: bytes) -> int:
-        """Returns how many suspects of the same crash run again before it.
+        """Returns how many suspects of the same crash are retried before it.
 
-        All instances come to the same order without asking each other.
+        All instances compute the same order without exchanging messages.
         """
-        suspect = self._fresh(fingerprint)
+        suspect = self._unexpired(fingerprint)
         if suspect is None or not suspect.crashes:
             return 0
         last = suspect.crashes[-1]
@@ -117,17 +121,17 @@
         }
         return sorted(requests).index(last.request)
 
-    def notes(self, most: int) -> list[CrashNote]:
-        """Returns what is held, the newest ``most`` events."""
+    def notes(self, limit: int) -> list[CrashNote]:
+        """Returns the newest recorded events, at most ``limit``."""
         events = [
             event
             for fingerprint, suspect in self.suspects.items()
             for event in _events(fingerprint, suspect)
         ]
-        return sorted(events, key=lambda event: event.at)[-most:]
+        return sorted(events, key=lambda event: event.at)[-limit:]
 
     def _suspects_at(self, crash: CrashNote) -> int:
-        """How many requests suspected before were in flight at a crash."""
+        """Returns how many earlier suspects were in flight at a crash."""
         return len(
             {
                 other.request
@@ -137,7 +141,7 @@
             }
         )
 
-    def _fresh(self, fingerprint: bytes) -> Suspect | None:
+    def _unexpired(self, fingerprint: bytes) -> Suspect | None:
         suspect = self.suspects.get(fingerprint)
         if (
             suspect
@@ -147,9 +151,9 @@
             return None
         return suspect
 
-    def _make_room(self) -> None:
+    def _evict_oldest(self) -> None:
         if len(self.suspects) >= _MAX_SUSPECTS:
-            # Many at a time: to search for the oldest takes long.
+            # Evicts many at once, since finding the oldest is slow.
             by_age = sorted(
                 self.suspects, key=lambda key: self.suspects[key].last_event_at
             )
@@ -158,7 +162,7 @@
 
 
 def is_same_crash(one: CrashNote, other: CrashNote) -> bool:
-    """Whether two notes tell of the same crash of an endpoint."""
+    """Returns whether two notes report the same crash of an endpoint."""
     near = abs(one.at - other.at) < _SAME_CRASH_MS
     return near and one.endpoint == other.endpoint
 
--- a/libs/policy/src/rattanmill_policy/queueing.py
+++ b/libs/policy/src/rattanmill_policy/queueing.py
@@ -1,4 +1,4 @@
-"""The order in which waiting calls get a place."""
+"""The order in which waiting calls are placed."""
 
 import asyncio
 import collections
@@ -15,12 +15,12 @@
 
 
 class Waiter(msgspec.Struct, eq=False):
-    """A call that waits for a place.
+    """A call that waits for a placement.
 
     Attributes:
-        deadline: Virtual deadline; the least goes first.
+        deadline: Virtual deadline; the earliest is placed first.
         work: The call.
-        place: Gets the place.
+        placement: Future that receives the placement.
     """
 
     deadline: float
@@ -29,14 +29,14 @@
 
 
 class ProgramUsage(msgspec.Struct):
-    """What a program and its sub-agents have had so far.
+    """Service used by a program and its sub-agents.
 
     Attributes:
-        root: The program that is nobody's sub-agent.
-        began: Loop time at which it began.
-        attained: Seconds of service.
-        calls: Calls that were placed.
-        last_end: Loop time at which its last call ended, or 0.
+        root: The program that is not a sub-agent of another.
+        started_at: Loop time at which it started.
+        attained: Attained service, in seconds.
+        calls: Number of calls placed.
+        last_call_ended_at: Loop time at which its last call ended, or 0.
     """
 
     root: str
@@ -47,10 +47,10 @@
 
 
 class ProgramUsageTable:
-    """Use by program; sub-agents count for their parent.
+    """Usage by program, with sub-agents counted for their parent.
 
-    Without that, a program could split itself into sub-agents, each of
-    which looks new and small, and so pass all others.
+    Otherwise a program could split itself into sub-agents, each of which looks
+    new and small, and so get ahead of all other programs.
     """
 
     def __init__(self) -> None:
@@ -59,7 +59,7 @@
         )
 
     def usage_of(self, work: Work, now: float) -> ProgramUsage:
-        """Returns the use that a call counts for."""
+        """Returns the usage to which a call is charged."""
         usage = self.usages.get(work.program) or self.usages.get(work.parent)
         if usage is None:
             root = work.parent or work.program
@@ -81,29 +81,29 @@
     is_new: bool,
     excess: float,
 ) -> float:
-    """Returns the loop time by which calls are ordered; the least goes first.
+    """Returns the loop time by which calls are ordered, earliest first.
 
-    It doesn't change while a call waits, and time passes for all: whatever
-    waits long enough is first at last, so nothing starves.
+    The value does not change while a call waits, so each waiting call
+    eventually becomes the first and none starves.
 
     Args:
         now: Loop time.
-        age_seconds: Time since the program began.
-        attained_seconds: Service it has had.
-        target_seconds: Its class's target.
-        is_new: Whether it has not begun. What has begun goes first, since
-            a program given up half-way wasted all it had.
-        excess: What its workspace uses beyond its share, in shares.
+        age_seconds: Time since the program started.
+        attained_seconds: Service that it has received.
+        target_seconds: Target of its class.
+        is_new: Whether it has not started. Started programs come first, since
+            abandoning one halfway would waste the service it has received.
+        excess: Usage of its workspace beyond the fair share, in fair shares.
     """
     # A program past its target gets a new deadline one target later. With the
-    # one it missed it would go before all that can still be in time, and
-    # these would be late in turn.
+    # missed deadline it would precede all programs that can still finish in
+    # time and make these late in turn.
     periods = math.floor(age_seconds / target_seconds) + 1
     deadline = now - age_seconds + periods * target_seconds
     step = target_seconds / _DEADLINE_STEPS_PER_TARGET
     rounded = math.ceil(deadline / step) * step
-    # The shape is unknown: among equals, what has had the least service is
-    # the likeliest to end soon.
+    # The remaining work is unknown. Among equal deadlines, the program with the
+    # least attained service is the most likely to end soon.
     service_offset = (
         step * attained_seconds / (attained_seconds + target_seconds)
     )
@@ -113,9 +113,10 @@
 
 
 def engine_priority(deadline: float, now: float, wall_time: float) -> int:
-    """Returns the priority for engines: tenths of seconds, negated.
+    """Returns the priority for engines: negated tenths of a second.
 
-    By the wall clock, so that instances' priorities compare. A wrong clock
-    shifts one instance's calls and harms nothing else.
+    Uses the wall clock, so that priorities of different instances are
+    comparable. A wrong clock shifts the calls of one instance and has no other
+    effect.
     """
     return -int((wall_time + deadline - now) * _PRIORITY_STEPS_PER_SECOND)
--- a/libs/policy/src/rattanmill_policy/ring.py
+++ b/libs/policy/src/rattanmill_policy/ring.py
@@ -1,9 +1,10 @@
-"""The home endpoints of a prefix, the same on every instance.
+"""Consistent hashing of prefixes to home endpoints, equal on all instances.
 
-Each endpoint has points on a ring of hashes; a prefix belongs to the points
-that follow its own hash. All instances that know the same endpoints find the
-same homes without a message, a change of one endpoint moves few prefixes, and
-a look-up takes logarithmic time where rendezvous hashing looks at all.
+Each endpoint has several virtual nodes on a hash ring; a prefix belongs to the
+endpoints that follow its own hash. Instances that know the same endpoints
+compute the same homes without exchanging messages, and a change of one endpoint
+moves few prefixes. A lookup takes logarithmic time, while rendezvous hashing
+examines all endpoints.
 """
 
 import bisect
@@ -28,11 +29,11 @@
 
 
 class Ring:
-    """Endpoints' points, in order.
+    """Hash ring of the endpoints' virtual nodes.
 
     Attributes:
-        points: Hash and name of each point.
-        known: Names that have points.
+        points: Hash and endpoint name of each virtual node, sorted.
+        members: Names of the endpoints on the ring.
     """
 
     def __init__(self, names: Iterable[str] = ()) -> None:
@@ -41,11 +42,11 @@
         self.update(set(names))
 
     def update(self, names: set[str]) -> None:
-        """Makes ``names`` the ring's endpoints.
+        """Makes ``names`` the endpoints of the ring.
 
-        Only points of those that come or go are touched: hashing all of a
-        large fleet again would keep all calls waiting for a tenth of a
-        second whenever one endpoint changes.
+        Changes only the virtual nodes of added and removed endpoints. Hashing
+        all endpoints of a large fleet again would block all calls for a tenth
+        of a second whenever one endpoint changes.
         """
         removed, added = self.members - names, names - self.members
         if len(removed) + len(added) > len(names) // 2:
@@ -64,7 +65,7 @@
         self.members = set(names)
 
     def homes(self, digest: bytes, count: int) -> list[str]:
-        """Returns up to ``count`` different endpoints, the first one first."""
+        """Returns up to ``count`` distinct endpoints, in ring order."""
         if not self.points:
             return []
         at = bisect.bisect(self.points, (_hash(digest), ""))
--- a/libs/policy/src/rattanmill_policy/scheduler.py
+++ b/libs/policy/src/rattanmill_policy/scheduler.py
@@ -1,4 +1,4 @@
-"""Places each call on an endpoint, lets it wait, or refuses it."""
+"""Places each call on an endpoint, queues it or refuses it."""
 
 import asyncio
 import bisect
@@ -41,15 +41,15 @@
 
 
 class Scheduler:
-    """All placement decisions of one instance.
+    """Makes all placement decisions of one instance.
 
     Args:
-        table: Endpoints known.
-        config: Returns the operators' configuration in force; asked at each
-            decision, so that a new target counts from the next call on.
+        table: Known endpoints.
+        config: Returns the operators' configuration in force. It is read at
+            each decision, so that a new target applies from the next call on.
         metrics: Counts decisions, if given.
         rules: Rules in force.
-        seed: Fixes what is random.
+        seed: Seed of the random number generator.
     """
 
     def __init__(
@@ -67,7 +67,7 @@
         self.state = SchedulerState(table, config, self.rules, self.rng)
 
     async def place(self, work: Work) -> Placement | Refusal:
-        """Returns a place for the call, perhaps after waiting for one."""
+        """Returns a placement for the call, queueing it if necessary."""
         if work.started_at:
             await asyncio.sleep(backoff_seconds(len(work.tried), self.rng))
         else:
@@ -80,14 +80,15 @@
         return self._place_if_free(work, choice) or await self._wait(work)
 
     def may_retry(self, work: Work, outcome: Outcome) -> bool:
-        """Whether one more attempt is worth it and in the retry budget."""
+        """Returns whether a retry is useful and within the retry budget."""
         if outcome not in _NOT_RUN:
             work.runs += 1
         if not should_retry(work, outcome, loop_seconds()):
             return False
         if outcome in _NOT_RUN:
-            # It cost the endpoint nothing, so trying elsewhere adds no load;
-            # a whole domain may be out of reach while its list shows it live.
+            # The attempt cost the endpoint nothing, so trying another one adds
+            # no load. A whole failure domain may be unreachable while the
+            # endpoint list still shows its endpoints as live.
             return True
         name = self.state.class_name(work)
         if self.rules.budget and not self.state.retry_budget.try_withdraw(name):
@@ -96,19 +97,19 @@
         return True
 
     def record_load_report(self, name: str, report: LoadReport) -> None:
-        """Takes an endpoint's load report."""
+        """Records an endpoint's load report."""
         state = self.table.states.get(name)
         if state and self.rules.reports:
             stats = self.state.candidates.stats_of(state)
             stats.record_load_report(loop_seconds(), report, state.in_flight)
 
     def on_attempt_end(self, placement: Placement) -> None:
-        """Learns from an attempt that ended and serves who waits."""
+        """Learns from an attempt that ended, then places waiting calls."""
         record_attempt(self.state, placement, loop_seconds())
         self._serve_waiting(self.state.group_of(placement.work))
 
     def _record_first_try(self, work: Work) -> None:
-        """Notes the first try of a call."""
+        """Records the first try of a call."""
         now = work.started_at = loop_seconds()
         work.deadline = now + work.seconds_left
         name = self.state.class_name(work)
@@ -125,7 +126,7 @@
             )
 
     def _refuse_unserved(self, work: Work) -> Refusal | None:
-        """Refuses what no endpoint serves, or serves now."""
+        """Refuses a call that no endpoint serves, or that none serves now."""
         if self.state.candidates.names_for(work):
             return None
         if work.model and not self.table.knows_model(work.model):
@@ -142,7 +143,7 @@
     def _check_admission(
         self, work: Work, choice: Choice | None
     ) -> Refusal | None:
-        """Refuses at once what cannot meet its target or its deadline."""
+        """Refuses a call that cannot meet its target or its deadline."""
         if not self.rules.admission or not work.model:
             return None
         state, now = self.state, loop_seconds()
@@ -182,7 +183,7 @@
     def _place_if_free(
         self, work: Work, choice: Choice | None
     ) -> Placement | None:
-        """Returns a place at the chosen endpoint if it has a free one."""
+        """Returns a placement at the chosen endpoint if it has a free slot."""
         if choice is None:
             return None
         full = choice.state.in_flight >= choice.stats.limit
@@ -222,11 +223,11 @@
             profile.record_call(usage.calls, now)
 
     def _attempt_timeout(self, work: Work, choice: Choice) -> float:
-        """Returns the longest silence to put up with, in seconds.
+        """Returns the maximum idle time of an attempt, in seconds.
 
-        It doesn't shrink with the time a program has left: late programs wait
-        longest in engines' queues, and giving each of them up to begin again
-        elsewhere would make an overload worse.
+        It does not shrink with the time that a program has left. Late programs
+        wait longest in the engines' queues; abandoning each of them and
+        restarting it elsewhere would make an overload worse.
         """
         target = self.state.class_of(work).target_seconds
         expected = _TIMEOUT_FACTOR * choice.estimate.seconds
@@ -247,11 +248,11 @@
         )
 
     def _workspace_backlog(self, work: Work, group: EndpointGroup) -> float:
-        """Returns seconds of service that the workspace has waiting.
+        """Returns the seconds of service that the workspace has in the queue.
 
-        What a workspace has had tells nothing of a flood that has just come
-        in. Each call of the flood goes behind the service of those before
-        it, as if the workspace had an endpoint of its own.
+        The past usage of a workspace does not show a burst that has just
+        arrived. Each call of the burst is ordered after the service of those
+        before it, as if the workspace had one endpoint of its own.
         """
         if not self.rules.shares:
             return 0.0
@@ -264,7 +265,7 @@
         )
 
     async def _wait(self, work: Work) -> Placement | Refusal:
-        """Waits until the call has a place or its deadline is over."""
+        """Waits until the call is placed or its deadline has passed."""
         began = loop_seconds()
         group = self.state.group_of(work)
         deadline = began
@@ -292,11 +293,11 @@
         self, waiter: Waiter, group: EndpointGroup
     ) -> Placement | Refusal:
         while not waiter.placement.done():
-            # Places come free without a call that ends, too: an endpoint
-            # comes back, or a limit grows.
+            # Slots can become free although no call ends: an endpoint reopens
+            # or a limit grows.
             await asyncio.wait([waiter.placement], timeout=_RECHECK_SECONDS)
-            # One looks for all: if each waiter did, a long queue would keep
-            # the process busy with looking.
+            # Only the first waiter checks for free slots. If each waiter did, a
+            # long queue would keep the process busy with checking.
             if group.waiting[:1] == [waiter]:
                 self._serve_waiting(group)
             if not waiter.placement.done() and (
@@ -306,7 +307,7 @@
         return waiter.placement.result()
 
     def _refuse_overdue(self, waiter: Waiter) -> Refusal | None:
-        """Refuses a call that has waited for too long or in vain."""
+        """Refuses a call past its deadline or no longer served."""
         remaining = waiter.work.remaining_seconds(loop_seconds())
         if remaining <= 0:
             decision = self.state.admission.check_deadline(1.0, remaining)
@@ -314,7 +315,7 @@
         return self._refuse_unserved(waiter.work)
 
     def _serve_waiting(self, group: EndpointGroup) -> None:
-        """Gives free places to those who wait, first to go first."""
+        """Places waiting calls on free slots, in queue order."""
         for waiter in group.waiting[:_LOOKAHEAD_CALLS]:
             if waiter.placement.cancelled():
                 continue
--- a/libs/policy/src/rattanmill_policy/speeds.py
+++ b/libs/policy/src/rattanmill_policy/speeds.py
@@ -1,8 +1,9 @@
-"""Speeds and load of one endpoint, learned from our own measurements.
+"""Speed and load of one endpoint, estimated from this instance's measurements.
 
-Nothing here is set by an operator. Estimates are robust (one odd sample
-cannot move them far) and decay towards the fleet's when an endpoint has not
-been measured for a while, so that a slow one that has recovered is tried.
+None of these values is configured by an operator. Estimates are robust (one
+outlier cannot move them far) and decay towards those of the fleet while an
+endpoint is not measured, so that a slow endpoint that has recovered is tried
+again.
 """
 
 import math
@@ -25,7 +26,7 @@
 
 
 class LoadReport(msgspec.Struct):
-    """Answer of ``GET /v1/load``, as far as it matters here."""
+    """The fields of the response to ``GET /v1/load`` that placement uses."""
 
     waiting: int = 0
     running: int = 0
@@ -37,21 +38,22 @@
 
 
 def _decaying_min(minimum: float, usual: float, sample: float) -> float:
-    """Returns the least seen, drawn slowly to what is usual by now."""
+    """Returns the minimum seen, which drifts slowly towards the usual value."""
     return min(sample, minimum + _MIN_DECAY_WEIGHT * (usual - minimum))
 
 
 class SpeedEstimate:
-    """Seconds per token and per call.
+    """Estimated seconds per token and per call.
 
     Attributes:
-        prefill: Seconds per prompt token that was not cached. Queueing makes
-            samples too long, never too short, so low samples count for more.
-        decode: Seconds per token of the answer, under the load there is.
-        decode_least: The least of these seen, forgotten slowly.
-        prefill_least: The same for prefill.
-        call: Seconds of a call, for plain services.
-        samples: How many measurements there were, at most 10.
+        prefill: Seconds per uncached prompt token. Queueing makes samples too
+            long, never too short, so low samples have more weight.
+        decode: Seconds per token of the answer, under the current load.
+        decode_min: Minimum of ``decode``, slowly decaying; 0 before a sample.
+        prefill_min: Minimum of ``prefill``, slowly decaying; 0 before a sample.
+        call: Seconds of a call to a plain service.
+        samples: Decayed number of measurements, at most 10.
+        measured_at: Loop time of the last measurement.
     """
 
     def __init__(self) -> None:
@@ -66,7 +68,15 @@
     def record_chat(
         self, now: float, first: float, total: float, uncached: int, output: int
     ) -> None:
-        """Takes one answer: its times in seconds, its sizes in tokens."""
+        """Records one answer.
+
+        Args:
+            now: Loop time.
+            first: Seconds to the first token.
+            total: Seconds to the end of the answer.
+            uncached: Uncached tokens of the prompt.
+            output: Tokens of the answer.
+        """
         if output >= _MIN_OUTPUT_TOKENS and total > first:
             self._update_decode((total - first) / (output - 1))
         if uncached >= _MIN_PREFILL_TOKENS:
@@ -74,7 +84,7 @@
         self._count_sample(now)
 
     def record_call(self, now: float, total: float) -> None:
-        """Takes one answer of a plain service."""
+        """Records one answer of a plain service."""
         sample = _clipped(total, self.call) if self.samples else total
         self.call += (
             _EWMA_WEIGHT * (sample - self.call) if self.samples else 0.0
@@ -109,13 +119,13 @@
         self.measured_at = now
 
     def min_seconds(self, uncached: int, output: int) -> float:
-        """Returns the time of a call at the best speeds seen."""
+        """Returns the seconds of a call at the best speeds seen."""
         prefill = self.prefill_min or self.prefill
         decode = self.decode_min or self.decode
         return uncached * prefill + output * decode
 
     def weight(self, now: float) -> float:
-        """Weight of these estimates against the fleet's."""
+        """Returns the weight of these estimates relative to the fleet's."""
         if not self.samples:
             return 0.0
         age = max(0.0, now - self.measured_at)
@@ -123,15 +133,21 @@
 
 
 class EndpointStats:
-    """What this instance knows of one endpoint.
+    """Statistics of one endpoint, as seen by this instance.
 
     Attributes:
-        speed: Its own speeds.
+        speed: Estimated speeds.
         others: Calls of other instances there, from its lagging reports.
-        slots: Calls in a batch, from its reports; 0 if it has not said.
-        limit: Calls that this instance has there at most; found by feedback.
+        slots: Maximum number of calls in a batch, from its reports; 0 if not
+            reported.
+        limit: Maximum concurrent calls of this instance there, adjusted by
+            feedback.
         reported: Loop time of the last report.
         used: Loop time of the last placement.
+        average_reported: Decayed average of the calls that it reports.
+        average_in_flight: Decayed average of this instance's calls there.
+        started: Loop time of the start and expected seconds of each call there,
+            in order of start.
     """
 
     __slots__ = (
@@ -155,18 +171,17 @@
         self.used = 0.0
         self.average_reported = 0.0
         self.average_in_flight = 0.0
-        # Start and expected seconds of each call there, oldest first.
         self.started: dict[int, tuple[float, float]] = {}
 
     def record_load_report(
         self, now: float, report: LoadReport, in_flight: int
     ) -> None:
-        """Takes a load report and corrects it by what we have there.
+        """Records a load report, corrected by this instance's own calls.
 
-        A report shows the load of some time ago, in which our own calls of
-        that time are counted. Taken as it is, it would count our calls
-        twice, and all instances would flee or rush to an endpoint at once.
-        Both sides are averaged over the same time, so a lag cancels out.
+        A report lags and includes this instance's calls at that time. Used
+        unchanged, it would count these calls twice, and all instances would
+        avoid or select an endpoint at the same time. Both sides are averaged
+        over the same period, so that the lag cancels out.
         """
         reported_calls = report.waiting + report.running
         age = now - self.reported if self.reported else math.inf
@@ -182,10 +197,11 @@
         self.reported = now
 
     def overdue_factor(self, now: float) -> float:
-        """How many times longer than expected the oldest call has taken.
+        """Returns the factor by which to raise expected times, at least 1.
 
-        An endpoint that has slowed down or hangs finishes nothing, so
-        nothing new is measured there; its oldest call tells all the same.
+        It is half the ratio of the oldest call's age to its expected duration.
+        An endpoint that has slowed down or hangs finishes no call and so gives
+        no new measurement; the age of its oldest call still shows it.
         """
         for began, expected in self.started.values():
             return max(1.0, (now - began) / max(expected, 0.01) / 2)
@@ -193,7 +209,13 @@
 
 
 class BlendedSpeed(msgspec.Struct):
-    """Speeds of an endpoint as decisions use them, in seconds per token."""
+    """Speeds of an endpoint used for decisions, in seconds per token.
+
+    Attributes:
+        prefill: Seconds per uncached prompt token.
+        decode: Seconds per token of the answer.
+        call: Seconds of a call to a plain service.
+    """
 
     prefill: float
     decode: float
@@ -203,7 +225,7 @@
 def blend_speed(
     own: SpeedEstimate, fleet: SpeedEstimate, now: float
 ) -> BlendedSpeed:
-    """Returns an endpoint's speeds, drawn towards the fleet's if unsure."""
+    """Returns an endpoint's speeds, weighted with those of the fleet."""
     weight = own.weight(now)
     if not fleet.samples:
         return BlendedSpeed(own.prefill, own.decode, own.call)
--- a/libs/policy/src/rattanmill_policy/table.py
+++ b/libs/policy/src/rattanmill_policy/table.py
@@ -1,4 +1,4 @@
-"""Endpoints known to this instance, and what it has in flight at each."""
+"""Endpoints known to this instance, and its calls in flight at each."""
 
 import asyncio
 from collections.abc import Callable
@@ -12,7 +12,7 @@
 _MAX_FAILURES = 3
 _UNLISTED_RETENTION_SECONDS = 300.0
 
-# What an attempt that ended so says against its endpoint.
+# Outcomes that count as a failure of the endpoint.
 _ENDPOINT_FAILURES = (Outcome.NOT_CONNECTED, Outcome.BROKEN, Outcome.TIMED_OUT)
 
 
@@ -20,17 +20,19 @@
     """One endpoint as this instance sees it.
 
     Attributes:
-        endpoint: As the instance list showed it last.
+        endpoint: Its latest entry in the instance list.
         listed: Whether it is on the list.
-        in_flight: Calls this instance has there now.
+        in_flight: Calls of this instance in flight there.
         avoid_until: Loop time until which it gets no new work.
         departure: Whether it is leaving.
-        reach: Whether it does its work when called from here.
-        failures: Attempts that failed in a row.
-        load: What it reported last, or None.
-        cache_tokens_seen: Most tokens that it had in its cache.
-        running: Timers of the attempts that are under way; see ``abort``.
-        progress_at: Loop time at which one of these last made progress.
+        reach: Whether it works when called from this failure domain.
+        failures: Consecutive failed attempts.
+        load: Its last load report, or None.
+        max_cache_tokens: Highest number of tokens reported in its cache.
+        active_timeouts: Timeouts of the attempts in progress; see
+            ``abort_attempts``.
+        progress_at: Loop time at which one of these attempts last made
+            progress.
     """
 
     def __init__(self, endpoint: Endpoint) -> None:
@@ -48,35 +50,35 @@
 
     @property
     def aspects(self) -> tuple[AspectState, AspectState]:
-        """Both marks."""
+        """The states of both aspects."""
         return self.departure, self.reach
 
     @property
     def closed(self) -> bool:
-        """Whether a mark keeps new work away."""
+        """Whether either aspect is closed to new work."""
         return self.departure.closed or self.reach.closed
 
     @property
     def phase(self) -> str:
-        """One word for operators."""
+        """State as one word, for operators."""
         if self.departure.closed:
             return "leaving"
         return "down" if self.reach.closed else "live"
 
     def accepts_work(self, now: float) -> bool:
-        """Whether it may get new work."""
+        """Returns whether it may get new work."""
         if self.closed or now < self.avoid_until:
             return False
         limits = [aspect.ramp_limit(now) for aspect in self.aspects]
         return all(limit is None or self.in_flight < limit for limit in limits)
 
     def update_load(self, load: Load) -> None:
-        """Takes a load report."""
+        """Records a load report."""
         self.load = load
         self.max_cache_tokens = max(self.max_cache_tokens, load.cache_tokens)
 
     def abort_attempts(self, now: float) -> None:
-        """Gives up the attempts that wait for an answer there."""
+        """Times out the attempts that wait for an answer from it."""
         for timer in self.active_timeouts:
             timer.reschedule(now)
 
@@ -85,7 +87,9 @@
     """All endpoints by name.
 
     Attributes:
-        on_note: Called with each change that was first seen here.
+        states: State of each endpoint, by name.
+        drained: Names of the endpoints that operators have drained.
+        on_note: Called with each change that this instance detected first.
         on_suspect: Called with an endpoint that should be probed at once.
     """
 
@@ -96,11 +100,11 @@
         self.on_suspect: Callable[[EndpointState], None] = lambda state: None
 
     def refresh(self, endpoints: list[Endpoint]) -> None:
-        """Takes a newly read instance list.
+        """Applies a newly read instance list.
 
-        Only a change in the list is a sign. The list lags: that it still says
-        ``live`` is no reason to use an endpoint that said it is leaving, and
-        that it still says ``leaving`` is none against one that came back.
+        Only a change in the list is evidence. The list lags: ``live`` does not
+        reopen an endpoint that reported that it is leaving, and ``leaving``
+        does not close one that has returned.
         """
         for endpoint in endpoints:
             state = self.states.get(endpoint.name)
@@ -118,10 +122,10 @@
                 self._unlist(name, state)
 
     def _unlist(self, name: str, state: EndpointState) -> None:
-        """Keeps the marks of an endpoint that has gone for a while.
+        """Keeps the state of an endpoint removed from the list for a while.
 
-        Otherwise an old list, read by an instance that lags, would show a new
-        endpoint that seems to be live.
+        Otherwise an old list, read by an instance that lags, would show it as a
+        new endpoint that seems to be live.
         """
         if state.listed:
             state.listed = False
@@ -133,7 +137,7 @@
             del self.states[name]
 
     def engines(self, model: str) -> list[EndpointState]:
-        """Engines that serve a model and take work."""
+        """Returns the engines that serve a model and accept work."""
         return [
             state
             for state in self._open_states()
@@ -142,7 +146,7 @@
         ]
 
     def services(self, service: str) -> list[EndpointState]:
-        """Plain services of a name that take work."""
+        """Returns the plain services of a name that accept work."""
         return [
             state
             for state in self._open_states()
@@ -151,10 +155,10 @@
         ]
 
     def has_suspects(self, group: str) -> bool:
-        """Whether an endpoint of a model or service is only suspected.
+        """Returns whether an endpoint of a model or service is only suspected.
 
-        It gets no work for a moment, until a probe has told whether it is
-        well; calls for it had better wait than be refused.
+        A suspected endpoint gets no work until a probe has shown whether it is
+        healthy. Calls for it should wait for that instead of being refused.
         """
         now = loop_seconds()
         return any(
@@ -167,22 +171,23 @@
         )
 
     def knows_model(self, model: str) -> bool:
-        """Whether any endpoint, open or not, serves the model."""
+        """Returns whether any endpoint, open or not, serves the model."""
         return any(model in s.endpoint.models for s in self.states.values())
 
     def knows_service(self, service: str) -> bool:
-        """Whether any plain service, open or not, has the name."""
+        """Returns whether any plain service, open or not, has the name."""
         return any(
             s.endpoint.kind == "service" and s.endpoint.service == service
             for s in self.states.values()
         )
 
     def record_outcome(self, state: EndpointState, outcome: Outcome) -> None:
-        """Learns from an attempt that ended.
+        """Records the outcome of an attempt at an endpoint.
 
-        A failed attempt alone closes nothing: a full backlog refuses now and
-        then, a stream is cut. The endpoint gets no new work until a probe,
-        which is asked for at once, has told which it is.
+        A failed attempt alone does not close the endpoint, since a full backlog
+        occasionally refuses a connection and a stream can be cut. The endpoint
+        gets no new work until a probe, requested at once, shows whether it is
+        healthy.
         """
         if outcome is Outcome.ANSWERED:
             state.failures = 0
@@ -196,21 +201,21 @@
             self.on_suspect(state)
 
     def close(self, state: EndpointState, aspect: Aspect, sign: Sign) -> None:
-        """Keeps new work away from an endpoint and tells others."""
+        """Closes an endpoint to new work and notifies other instances."""
         aspect_state = _aspect_state(state, aspect)
         if aspect_state.close(sign, loop_seconds()):
             self._on_closed(state, aspect_state)
             self.on_note(aspect_state.to_note(state.endpoint.name))
 
     def reopen(self, state: EndpointState, aspect: Aspect) -> None:
-        """Lets new work in again, a little at first, and tells others."""
+        """Reopens an endpoint, with a ramp-up, and notifies other instances."""
         aspect_state = _aspect_state(state, aspect)
         if aspect_state.reopen(loop_seconds()):
             state.failures = 0
             self.on_note(aspect_state.to_note(state.endpoint.name))
 
     def merge(self, note: EndpointNote) -> bool:
-        """Takes what another instance saw; True if it was news."""
+        """Merges a note of another instance; returns whether it was new."""
         state = self.states.get(note.endpoint)
         if state is None:
             return False
@@ -226,14 +231,14 @@
     def _on_closed(
         self, state: EndpointState, aspect_state: AspectState
     ) -> None:
-        # A call at an endpoint that hangs would wait for a time-out of a
-        # minute; given up now, it still finishes elsewhere. A connection
-        # that is refused says nothing about the calls that are running.
+        # A call at an endpoint that hangs would wait for a timeout of a minute;
+        # aborted now, it can still finish at another endpoint. A refused
+        # connection says nothing about the calls in progress.
         if aspect_state.sign in (Sign.SILENT, Sign.STALLED):
             state.abort_attempts(loop_seconds())
 
     def avoid(self, name: str, seconds: float) -> None:
-        """Gives an endpoint no new work for a while."""
+        """Gives an endpoint no new work for some seconds."""
         if state := self.states.get(name):
             state.avoid_until = max(state.avoid_until, loop_seconds() + seconds)
 
--- a/libs/policy/src/rattanmill_policy/work.py
+++ b/libs/policy/src/rattanmill_policy/work.py
@@ -1,4 +1,4 @@
-"""What the scheduler is asked to place, and the place it gives."""
+"""Calls to be placed by the scheduler, and their placements."""
 
 import asyncio
 from collections.abc import Callable
@@ -19,18 +19,19 @@
         turn: Number of the call in its program, from 1.
         klass: Class of work.
         workspace: Workspace of the caller.
-        model: Model asked for, or empty for a plain service.
-        service: Plain service asked for, or empty for an engine.
-        prefixes: Digest and tokens of each prefix of the prompt, by message.
-        prompt_tokens: Estimate of the whole prompt.
-        output_tokens: Most tokens of the answer.
+        model: Requested model, or empty for a plain service.
+        service: Requested plain service, or empty for an engine.
+        prefixes: Digest and tokens of each message of the prompt; the digest
+            covers the prefix that ends with it.
+        prompt_tokens: Estimated tokens of the whole prompt.
+        max_output_tokens: Maximum tokens of the answer.
         seconds_left: Time until the caller's deadline, at the first try.
-        age_seconds: Time since the program began, at the first try.
-        attained_seconds: Service that the program has had so far.
-        body_digest: Digest of the body, to recognise a call sent again.
-        tried: Endpoints on which this call has failed.
-        runs: How many of these may have run it.
-        began: Loop time of the first try; set by the scheduler.
+        age_seconds: Time since the program started, at the first try.
+        attained_seconds: Service that the program has received so far.
+        body_digest: Digest of the body, used to recognize a repeated call.
+        tried: Endpoints at which this call has failed.
+        runs: Number of tries that may have run the call.
+        started_at: Loop time of the first try; set by the scheduler.
         deadline: Loop time of the caller's deadline; set by the scheduler.
     """
 
@@ -55,42 +56,44 @@
 
     @property
     def group(self) -> str:
-        """Name of what serves it: a model, or a plain service."""
+        """Name of the endpoint group: a model or a plain service."""
         return self.model or self.service
 
     @property
     def is_new(self) -> bool:
-        """Whether nothing of its program has run yet."""
+        """Whether no call of its program has run yet."""
         return bool(self.model) and self.turn <= 1 and not self.parent
 
     def remaining_seconds(self, now: float) -> float:
-        """Seconds until the caller's deadline at loop time ``now``."""
+        """Returns the seconds until the caller's deadline at ``now``."""
         return self.deadline - now
 
 
 class Placement:
-    """A place at an endpoint, held while the call runs there.
+    """A slot at an endpoint, held while the call runs there.
 
-    It is counted as in flight from the moment it is made, not from ``with``:
-    otherwise calls decided in the same moment would all see the same free
-    place.
+    The call counts as in flight from construction, not from ``with``. Otherwise
+    calls decided at the same moment would all see the same free slot.
 
     Attributes:
         work: The call.
-        state: The endpoint.
-        priority: Passed on to engines; higher goes first.
-        timeout_seconds: Longest silence of the endpoint to put up with.
-        expected_seconds: Time the call should take.
-        cached_expected: Tokens of the prompt that should be cached there.
-        cached_since: Loop time at which that prefix was last used there; 0
-            if it is a guess.
-        outcome: Set by the holder before it lets go.
+        state: State of the endpoint.
+        on_release: Called with the placement when it is released.
+        priority: Priority for engines; higher runs first.
+        timeout_seconds: Maximum idle time of the endpoint.
+        expected_seconds: Expected duration of the call.
+        expected_cached_tokens: Tokens of the prompt that should be cached
+            there.
+        cache_last_used: Loop time of the last use of that prefix there; 0 if it
+            is an estimate.
+        outcome: Outcome, set by the holder before release.
         first_token_seconds: Time to the first token, set by the holder.
-        seconds: Time the call took; the time the place was held unless the
-            holder sets it.
+        seconds: Duration of the call; the time from construction to release
+            unless the holder sets it.
         prompt_tokens: Tokens of the prompt, from the endpoint's usage.
-        cached_tokens: Of these, tokens it had cached.
+        cached_tokens: Tokens of the prompt that the endpoint had cached.
         output_tokens: Tokens of the answer.
+        started_at: Loop time of construction.
     """
 
     def __init__(
@@ -122,7 +125,7 @@
         return self.state.endpoint.url
 
     def release(self) -> None:
-        """Gives the place back."""
+        """Releases the slot."""
         self.state.in_flight -= 1
         now = asyncio.get_running_loop().time()
         self.seconds = self.seconds or now - self.started_at
