--- a/tests/features/admission.feature
+++ b/tests/features/admission.feature
@@ -1,94 +1,95 @@
-Feature: What may start, and what goes first
-  Programs are refused at once when they could not be in time, and those
-  under way go before new ones.
+Feature: Admission and queue order
+  Programs that could not meet their target are refused at once, and started
+  programs precede new ones.
 
-  Scenario: Too much work
-    More programs arrive than the runners can serve. Those that wait too long
-    miss their target, and so do all that were in time before them.
+  Scenario: Overload
+    More programs arrive than the endpoint can serve. Without refusals, those
+    that wait too long miss their target and delay all others past theirs.
 
-    Given a system whose only runner stands still
+    Given a system whose only endpoint is stalled
     When 12 programs of class "hurried" send their first turn
-    Then some are refused as "overloaded" with a time to come back
-    And each of those refused was told so while the runner stood still
-    When the runner goes on
-    Then all that were not refused are answered
+    Then some are refused as "overloaded" with a Retry-After header
+    And each refusal was returned while the endpoint was stalled
+    When the endpoint resumes
+    Then all programs that were not refused are answered
 
   Scenario: A new target takes effect without a restart
-    Operators see programs refused that they would rather have wait, and give
-    their class a longer target. Nothing is restarted.
+    Operators see refusals and give the class a longer target instead. The
+    change must apply without a restart.
 
-    Given a system whose only runner stands still
+    Given a system whose only endpoint is stalled
     When 12 programs of class "hurried" send their first turn
-    Then some are refused as "overloaded" with a time to come back
+    Then some are refused as "overloaded" with a Retry-After header
     When the target of "hurried" becomes 600 s
-    Then a program of class "hurried" is not refused any more
+    Then a program of class "hurried" is no longer refused
 
-  Scenario: Programs under way go before new ones
-    A family is in the middle of its booking while others begin theirs. If it
-    has to wait behind them, its seating fills, and the work was for nothing.
+  Scenario: Started programs precede new ones
+    A program is halfway through when others start. If it had to wait behind
+    them, it would miss its deadline and its previous work would be wasted.
 
-    Given a runner with one place, which is taken
-    When a new program waits for it, and then one under way
-    Then the one under way gets it first
+    Given an endpoint whose only slot is taken
+    When a new program waits for it, then a started one
+    Then the started program gets it first
 
-  Scenario: First come, first served lets it wait
-    Given a runner with one place, which is taken, without an order
-    When a new program waits for it, and then one under way
-    Then the new one gets it first
+  Scenario: Without deadline order a started program waits
+    Given an endpoint whose only slot is taken, without deadline order
+    When a new program waits for it, then a started one
+    Then the new program gets it first
 
-  Scenario: One workspace floods
-    A branch starts a hundred programs at once. The calls of another branch
-    would wait behind all of them.
+  Scenario: One workspace floods the queue
+    A workspace starts a hundred programs at once. Without fair shares, the
+    calls of another workspace would wait behind all of them.
 
-    Given a runner with one place, which is taken by workspace "flood"
-    When workspace "flood" has 30 calls waiting and "small" then 1
+    Given an endpoint whose only slot is taken by "flood"
+    When workspace "flood" has 30 calls waiting and then "small" has 1
     Then the call of "small" is among the first 3
 
-  Scenario: Without shares it waits behind the flood
-    Given a runner with one place, which is taken by workspace "flood", without shares
-    When workspace "flood" has 30 calls waiting and "small" then 1
-    Then the call of "small" is the last
+  Scenario: Without fair shares it waits behind the flood
+    Given an endpoint whose only slot is taken by "flood", without shares
+    When workspace "flood" has 30 calls waiting and then "small" has 1
+    Then the call of "small" is last
 
   Scenario: Engines get the same order
-    Calls queue inside engines, too. If they went there in the order they came,
-    ours would be worth nothing.
+    Calls also queue inside engines. If they were sent in order of arrival, the
+    order of our queue would be lost there.
 
-    Then a call under way has a higher priority than a new one placed before it
+    Then a started program's call outranks a new program's earlier call
 
-  Scenario: Room is kept for workspaces within their share
-    A branch has used three times its share of the last seconds. When there is
-    room for some programs only, another branch's come first.
+  Scenario: Workspaces within their share are admitted first
+    A workspace has used three times its share in the last seconds. While there
+    is room for only some programs, those of another workspace are admitted
+    first.
 
     Then a workspace within its share is admitted whenever one over it is
-    And at half of the allowed wait only the one within its share is
+    And at half of the allowed delay only the one within its share is
 
   Scenario: A call that waits past its deadline
-    A caller sets a deadline, and no place comes free in time.
+    A caller sets a deadline, and no slot becomes free in time.
 
-    Given a runner with one place, which is taken
+    Given an endpoint whose only slot is taken
     When a call with a deadline of 2 s waits for it
-    Then it is refused as "overloaded" by its deadline, and holds no place
+    Then it is refused as "overloaded" by its deadline and holds no slot
 
-  Scenario: Nothing starves
-    Then whatever waits for four targets goes before all that comes later
+  Scenario: No call starves
+    Then a call that waited for four targets precedes all later calls
 
-  Scenario: Sub-agents count for their parent
-    A program that splits itself into sub-agents would look new and small
-    each time, and pass all others.
+  Scenario: Sub-agents are charged to their parent
+    A program that splits itself into sub-agents would otherwise look new and
+    small each time and precede all others.
 
-    Then a sub-agent goes no earlier than its parent would
+    Then a sub-agent is ordered no earlier than its parent
 
-  Scenario: Those that were refused don't come back all at once
-    Then no two refusals of a moment give the same time to come back
-    And the times are as far apart as programs begin
+  Scenario: Refused programs do not all retry at once
+    Then no two simultaneous refusals give the same retry time
+    And the retry times are spaced by the admission interval
 
-  Scenario: The limit follows what the runner can do
-    Then a runner's limit falls while calls are slow and grows while not
+  Scenario: The limit follows what the endpoint can do
+    Then an endpoint's limit falls while calls are slow and grows otherwise
 
   Scenario: A class that was not used for a week
-    A class is used for the monthly release only. The weights of what was
-    seen grow with the time since then, and its next call must not fail.
+    A class is used only for a monthly release. The weight of its samples grows
+    with the idle time, and the next call must not overflow it.
 
-    Given a class that saw 100 programs of 4 calls
+    Given a class that recorded 100 programs of 4 calls
     When it is used again a week later by 100 programs of 9 calls
-    Then the percentile 95 of its calls is 9
+    Then percentile 95 of its calls is 9
--- a/tests/features/leaving.feature
+++ b/tests/features/leaving.feature
@@ -1,34 +1,34 @@
-Feature: Endpoints that leave, die or hang
-  The instance list lags. Whichever sign comes first keeps new work away, and
-  all instances act on it; a stale sign does not bring an endpoint back.
+Feature: Endpoints that leave, crash or hang
+  The instance list lags. The first sign, whatever its source, closes an
+  endpoint to new work on all instances; a stale sign does not reopen it.
 
-  Scenario: An engine drains and the list still calls it live
-    An engine is replaced. It refuses new calls while the list, which lags,
-    shows it as live. Calls would go there again and again, each for nothing.
+  Scenario: An engine drains while the list still shows it as live
+    An engine that is being replaced refuses new calls, while the list, which
+    lags, shows it as live. Calls would be sent there repeatedly and fail.
 
     Given endpoints in three failure domains, and a list that lags
-    When engine "engine-1" begins to drain
+    When engine "engine-1" starts to drain
     And 24 calls are made through all instances
     Then all calls are answered
     And every instance shows "engine-1" as "leaving"
-    When calls are made while the list is read again and again
+    When calls are made while the list is read repeatedly
     Then all calls are answered
     And "engine-1" received nothing of them
 
-  Scenario: An engine that drains is found without a call, and comes back
-    Nobody has a call for the engine while it starts to drain; the first
-    caller of the evening would be sent to it. Then the replacement is given
-    up, and the engine must not stand idle for ever.
+  Scenario: A draining engine is detected without a call, and returns
+    No call is in progress when the engine starts to drain, so the next caller
+    would be sent to it. When the replacement is cancelled, the engine must get
+    work again.
 
     Given endpoints in three failure domains, and a list that lags
-    When engine "engine-2" begins to drain
+    When engine "engine-2" starts to drain
     Then every instance shows "engine-2" as "leaving"
     When engine "engine-2" stops draining
     Then every instance shows "engine-2" as "live"
     When 24 calls are made through all instances
     Then all calls are answered
 
-  Scenario: The list names an endpoint that leaves, or drops it
+  Scenario: The list shows an endpoint as leaving, or drops it
     Given endpoints in three failure domains, and a list that lags
     When the list shows "engine-3" as leaving
     Then every instance shows "engine-3" as "leaving"
@@ -37,7 +37,7 @@
     When 24 calls are made through all instances
     Then all calls are answered
     And "engine-3" received nothing of them
-    When the list is as it was
+    When the list is restored
     Then every instance shows "engine-3" as "live"
     And every instance shows "office-2" as "live"
 
@@ -50,19 +50,19 @@
     And "engine-2" received nothing of them
 
   Scenario: An engine accepts calls and never answers
-    Its batch stands still while its HTTP server is well. Callers would wait
-    for a minute, and new calls would join them.
+    Its batch makes no progress while its HTTP server is healthy. Callers would
+    wait for a minute, and new calls would be sent there as well.
 
     Given endpoints in three failure domains, and a list that lags
     When engine "engine-1" hangs
-    And 12 calls at once are made until one is at engine "engine-1"
+    And 12 calls at once are made until one reaches engine "engine-1"
     Then all calls are answered
     And every instance of its domain shows "engine-1" as "down"
-    When engine "engine-1" moves again
+    When engine "engine-1" stops hanging
     Then every instance shows "engine-1" as "live"
 
   Scenario: An engine's process is frozen
-    A stalled machine keeps its connections open and says nothing.
+    A stalled machine keeps its connections open and sends nothing.
 
     Given endpoints in three failure domains, and a list that lags
     When engine "engine-1" is frozen
@@ -72,7 +72,7 @@
     When engine "engine-1" thaws
     Then every instance shows "engine-1" as "live"
 
-  Scenario: An engine dies with calls in flight
+  Scenario: An engine crashes with calls in flight
     Given endpoints in three failure domains, and a list that lags
     When engine "engine-1" hangs
     And it is killed while 12 calls are made at once
@@ -82,8 +82,8 @@
     Then every instance shows "engine-1" as "live"
 
   Scenario: An endpoint that one failure domain cannot reach
-    The network between two failure domains is cut. What the one cannot reach
-    must not be taken from the other, which has no other engine nearby.
+    Two failure domains are partitioned from each other. An endpoint that one
+    cannot reach must stay open to the other, which has no other engine nearby.
 
     Given endpoints in three failure domains, and a list that lags
     When "engine-1" is so slow that the second failure domain sends it nothing
@@ -91,10 +91,10 @@
     And 12 calls are made through the second failure domain
     Then all calls are answered
     And every instance of the second failure domain shows "engine-1" as "down"
-    And no instance of its domain saw "engine-1" closed meanwhile
+    And no instance of its domain closed "engine-1" meanwhile
 
-  Scenario: Signs come late, twice and in another order
+  Scenario: Signs arrive late, twice and out of order
     Given any notes about an endpoint
-    Then instances that hear them in any order agree
+    Then instances that receive them in any order agree
     And a stale note changes nothing
-    And an endpoint that fails again and again is tried less and less
+    And an endpoint that keeps failing is tried less and less often
--- a/tests/features/order.feature
+++ b/tests/features/order.feature
@@ -1,10 +1,10 @@
 Feature: Order of a program's turns
   The calls of a program run in order, at one owner at a time.
 
-  Scenario: The same turn is sent at once through two instances
-    The caller's connection is slow and its library sends the turn again
-    through another instance. It must not get two different answers, and the
-    turn must not be paid for twice.
+  Scenario: The same turn is sent concurrently through two instances
+    The caller's connection is slow and its library sends the turn again through
+    another instance. The turn must not get two different answers or be charged
+    twice.
 
     Given a system of three failure domains
     And a new program of failure domain 0
@@ -17,9 +17,9 @@
     And the engine ran 1 more call
     And every living instance shows turns 1
 
-  Scenario: A turn arrives while the one before it runs
-    A program sends its next call without waiting. It would be answered
-    without what the engine said just before.
+  Scenario: A turn arrives while the previous one runs
+    A program sends its next call without waiting for the answer. Run at once,
+    it would be answered without the previous answer in its context.
 
     Given a system of three failure domains
     And a new program of failure domain 0
@@ -31,9 +31,9 @@
     And the other call gets the kept answer of turn 2
     And every living instance shows turns 1, 2
 
-  Scenario: The owner dies between two turns
-    The instance that owns a program is replaced. Its next call must find the
-    program where it was.
+  Scenario: The owner crashes between two turns
+    The instance that owns a program is replaced. The next call must find the
+    program in its last state.
 
     Given a system of three failure domains
     And a program whose first turn is kept
@@ -42,7 +42,7 @@
     Then the answer has status 200
     And every living instance shows turns 1, 2
 
-  Scenario: The owner dies while a turn runs
+  Scenario: The owner crashes while a turn runs
     The caller waits for its answer and must get it from the next owner.
 
     Given a system of three failure domains
@@ -55,9 +55,9 @@
     And every living instance shows turns 1, 2
 
   Scenario: An owner is frozen past its lease with a turn in flight
-    The machine stalls. Another instance takes the program over and runs the
-    same turn. The old owner wakes up with a new lease of its own and an
-    engine that still works for it. If it handed out what it gets, the caller
+    The machine stalls. Another instance takes over the program and runs the
+    same turn. The old owner resumes with a new lease of its own and an engine
+    that still works for it. If it returned that engine's answer, the caller
     would hold an answer that is not in the program's history.
 
     Given a system of three failure domains
@@ -75,7 +75,7 @@
 
   Scenario Outline: A failure domain is cut off <from>
     Callers inside the domain still reach its instances and engines. They are
-    served for the whole cut, however long it is, and nothing is lost by it.
+    served throughout the partition, however long it lasts, and no turn is lost.
 
     Given a system of three failure domains
     And a program whose first turn is kept
@@ -91,10 +91,10 @@
       | the other domains |
       | everything        |
 
-  Scenario: An engine takes long for a call that came through another domain
-    Instances of different domains seldom hear each other. The one that the
-    caller reached must not take a slow engine for a dead owner: it would send
-    the turn again, or give the caller an error for a turn that is kept.
+  Scenario: A slow engine serves a call from another domain
+    Instances of different domains exchange messages rarely. The instance that
+    the caller reached must not mistake a slow engine for a crashed owner: it
+    would send the turn again, or return an error for a turn that is kept.
 
     Given a system of three failure domains
     And a program whose first turn is kept
--- a/tests/features/steps/admission.py
+++ b/tests/features/steps/admission.py
@@ -1,4 +1,4 @@
-"""Steps of admission, queue order and shares."""
+"""Steps for admission, queue order and fair shares."""
 
 import asyncio
 import concurrent.futures
@@ -27,16 +27,16 @@
 _DELAY = 5.0
 
 
-@given("a system whose only runner stands still")
-def step_still(context):
+@given("a system whose only endpoint is stalled")
+def step_endpoint_stalled(context):
     layout = Layout(
-        domains=("alba-east",), per_domain=1, engines=[EngineSpec("runner")]
+        domains=("alba-east",), per_domain=1, engines=[EngineSpec("endpoint")]
     )
     start(context, layout)
-    context.runner = context.system.standins["runner"]
-    context.scenario_stack.callback(context.runner.faults, hang=False)
+    context.endpoint = context.system.standins["endpoint"]
+    context.scenario_stack.callback(context.endpoint.faults, hang=False)
     _set_target(context, 2.0)
-    context.runner.faults(hang=True)
+    context.endpoint.faults(hang=True)
 
 
 def _set_target(context, seconds):
@@ -50,7 +50,7 @@
     assert answer.status == 200, answer
 
 
-def _begin(context):
+def _start_program(context):
     (client,) = context.clients
     program = client.create(**{"class": "hurried"}, workspace="leith")
     return context.pool.submit(client.chat, "hello", program, 1)
@@ -60,8 +60,8 @@
 def step_first_turns(context):
     context.pool = concurrent.futures.ThreadPoolExecutor(16)
     context.scenario_stack.callback(context.pool.shutdown)
-    context.scenario_stack.callback(context.runner.faults, hang=False)
-    context.tasks = [_begin(context) for _ in range(12)]
+    context.scenario_stack.callback(context.endpoint.faults, hang=False)
+    context.tasks = [_start_program(context) for _ in range(12)]
 
 
 def _refused(context):
@@ -69,7 +69,7 @@
     return [answer for answer in ended if answer.status == 429]
 
 
-@then('some are refused as "overloaded" with a time to come back')
+@then('some are refused as "overloaded" with a Retry-After header')
 def step_some_refused(context):
     wait_until(lambda: _refused(context), "a program is refused")
     for answer in _refused(context):
@@ -78,22 +78,22 @@
         assert int(answer.headers["retry-after"]) >= 1, answer
 
 
-@then("each of those refused was told so while the runner stood still")
-def step_while_still(context):
+@then("each refusal was returned while the endpoint was stalled")
+def step_refused_while_stalled(context):
     def settled():
-        calls = context.runner.stats().get("calls", 0)
+        calls = context.endpoint.stats().get("calls", 0)
         held = sum(not task.done() for task in context.tasks)
         return held and held + len(_refused(context)) == 12 and calls <= held
 
     wait_until(settled, "each program is refused or holds its place")
 
 
-@when("the runner goes on")
-def step_goes_on(context):
-    context.runner.faults(hang=False)
+@when("the endpoint resumes")
+def step_endpoint_resumes(context):
+    context.endpoint.faults(hang=False)
 
 
-@then("all that were not refused are answered")
+@then("all programs that were not refused are answered")
 def step_answered(context):
     statuses = {task.result().status for task in context.tasks}
     assert statuses == {200, 429}, statuses
@@ -104,52 +104,49 @@
     _set_target(context, 600.0)
 
 
-@then('a program of class "hurried" is not refused any more')
+@then('a program of class "hurried" is no longer refused')
 def step_not_refused(context):
-    # The runner still stands still and the queue is as long as before: only
-    # the target has changed. A refusal would come at once.
+    # The endpoint is still stalled and the queue is as long as before; only the
+    # target has changed. A refusal would arrive at once.
     (client,) = context.clients
     queued = client.metric("rattanmill_queued")
-    task = _begin(context)
+    task = _start_program(context)
     wait_until(
         lambda: task.done() or client.metric("rattanmill_queued") > queued,
         "the program is refused or waits",
     )
     assert not task.done(), task.result()
-    context.runner.faults(hang=False)
+    context.endpoint.faults(hang=False)
     assert task.result().status == 200, task.result()
 
 
-def _one_place(context, rules, workspace=""):
+def _use_rules(context, rules, workspace=""):
     context.rules = rules
     context.workspace = workspace
 
 
-@given("a runner with one place, which is taken")
-def step_one_place(context):
-    _one_place(context, Rules())
+@given("an endpoint whose only slot is taken")
+def step_one_slot(context):
+    _use_rules(context, Rules())
 
 
-@given("a runner with one place, which is taken, without an order")
-def step_one_place_unordered(context):
-    _one_place(context, Rules(order=False))
+@given("an endpoint whose only slot is taken, without deadline order")
+def step_one_slot_unordered(context):
+    _use_rules(context, Rules(order=False))
 
 
-@given('a runner with one place, which is taken by workspace "flood"')
-def step_one_place_flood(context):
-    _one_place(context, Rules(), "flood")
+@given('an endpoint whose only slot is taken by "flood"')
+def step_one_slot_flood(context):
+    _use_rules(context, Rules(), "flood")
 
 
-@given(
-    'a runner with one place, which is taken by workspace "flood",'
-    " without shares"
-)
-def step_one_place_no_shares(context):
-    _one_place(context, Rules(shares=False), "flood")
+@given('an endpoint whose only slot is taken by "flood", without shares')
+def step_one_slot_no_shares(context):
+    _use_rules(context, Rules(shares=False), "flood")
 
 
 def _waiting_order(context, works):
-    """Returns the programs in the order in which they get the one place."""
+    """Returns the programs in the order in which they get the only slot."""
 
     async def run():
         fleet = Fleet(
@@ -164,11 +161,11 @@
         order = []
 
         async def wait(work):
-            placed = await fleet.scheduler.place(work)
-            assert isinstance(placed, Placement), placed
+            placement = await fleet.scheduler.place(work)
+            assert isinstance(placement, Placement), placement
             fleet.set_limit(1)
             order.append(work.program)
-            await fleet.finish(placed)
+            await fleet.finish(placement)
             fleet.set_limit(1)
 
         tasks = []
@@ -182,23 +179,23 @@
     return run_virtually(run())
 
 
-@when("a new program waits for it, and then one under way")
+@when("a new program waits for it, then a started one")
 def step_two_wait(context):
-    works = [chat_work("new", turn=1), chat_work("under way", turn=2)]
+    works = [chat_work("new", turn=1), chat_work("started", turn=2)]
     context.order = _waiting_order(context, works)
 
 
-@then("the one under way gets it first")
-def step_under_way_first(context):
-    assert context.order == ["under way", "new"], context.order
+@then("the started program gets it first")
+def step_started_first(context):
+    assert context.order == ["started", "new"], context.order
 
 
-@then("the new one gets it first")
+@then("the new program gets it first")
 def step_new_first(context):
-    assert context.order == ["new", "under way"], context.order
+    assert context.order == ["new", "started"], context.order
 
 
-@when('workspace "flood" has 30 calls waiting and "small" then 1')
+@when('workspace "flood" has 30 calls waiting and then "small" has 1')
 def step_flood(context):
     works = [
         chat_work(f"flood-{number}", workspace="flood") for number in range(30)
@@ -212,22 +209,22 @@
     assert "small" in context.order[:3], context.order
 
 
-@then('the call of "small" is the last')
+@then('the call of "small" is last')
 def step_small_last(context):
     assert context.order[-1] == "small", context.order
 
 
-@then("a call under way has a higher priority than a new one placed before it")
+@then("a started program's call outranks a new program's earlier call")
 def step_priority(context):
     async def run():
         fleet = Fleet({"a": 0.5})
         new = await fleet.hold(chat_work("new", turn=1))
         await asyncio.sleep(1)
-        under_way = await fleet.hold(chat_work("under way", age_seconds=5.0))
-        return new.priority, under_way.priority
+        started = await fleet.hold(chat_work("started", age_seconds=5.0))
+        return new.priority, started.priority
 
-    new, under_way = run_virtually(run())
-    assert new < under_way, (new, under_way)
+    new, started = run_virtually(run())
+    assert new < started, (new, started)
 
 
 def _admits(delay, excess):
@@ -256,11 +253,11 @@
     check()
 
 
-@then("at half of the allowed wait only the one within its share is")
+@then("at half of the allowed delay only the one within its share is")
 def step_share_only(context):
-    shape = Admission(random.Random(1)).class_state("default").profile
-    shape.record_sample("run", 1.0)
-    allowed = allowed_delay(shape, WorkClass(target_seconds=60.0))
+    profile = Admission(random.Random(1)).class_state("default").profile
+    profile.record_sample("run", 1.0)
+    allowed = allowed_delay(profile, WorkClass(target_seconds=60.0))
     assert _admits(0.49 * allowed, 0.0)
     assert not _admits(0.49 * allowed, 2.0)
 
@@ -280,7 +277,7 @@
     context.outcome = run_virtually(run())
 
 
-@then('it is refused as "overloaded" by its deadline, and holds no place')
+@then('it is refused as "overloaded" by its deadline and holds no slot')
 def step_deadline_refused(context):
     refusal, now, in_flight = context.outcome
     assert isinstance(refusal, Refusal), refusal
@@ -290,30 +287,35 @@
     assert in_flight == 0
 
 
-@then("whatever waits for four targets goes before all that comes later")
-def step_no_starving(context):
+@then("a call that waited for four targets precedes all later calls")
+def step_no_starvation(context):
     ages = st.floats(0.0, 1e5)
     excess = st.floats(0.0, 100.0)
 
     @_EXAMPLES
     @for_any(ages, ages, st.floats(0.1, 1e4), excess, st.booleans())
-    def check(old_age, new_age, target, over, is_new):
-        waits = virtual_deadline(100.0, old_age, old_age, target, is_new, over)
-        # Longest: a new deadline, being new, and the most for the excess.
-        later = 100.0 + 6.5 * target
-        fresh = virtual_deadline(later, new_age, 0.0, target, False, 0.0)
-        assert waits <= fresh
+    def check(old_age, new_age, target, excess, is_new):
+        waiting_deadline = virtual_deadline(
+            100.0, old_age, old_age, target, is_new, excess
+        )
+        # The maximum is a new deadline, the penalty for new programs and the
+        # maximum penalty for excess usage.
+        later_now = 100.0 + 6.5 * target
+        later_deadline = virtual_deadline(
+            later_now, new_age, 0.0, target, False, 0.0
+        )
+        assert waiting_deadline <= later_deadline
 
     check()
 
 
-@then("a sub-agent goes no earlier than its parent would")
+@then("a sub-agent is ordered no earlier than its parent")
 def step_sub_agents(context):
-    uses = ProgramUsageTable()
-    parent = uses.usage_of(chat_work("parent"), 100.0)
+    table = ProgramUsageTable()
+    parent = table.usage_of(chat_work("parent"), 100.0)
     parent.attained = 50.0
-    child = uses.usage_of(chat_work("child", parent="parent", turn=1), 130.0)
-    grandchild = uses.usage_of(chat_work("grandchild", parent="child"), 130.0)
+    child = table.usage_of(chat_work("child", parent="parent", turn=1), 130.0)
+    grandchild = table.usage_of(chat_work("grandchild", parent="child"), 130.0)
     assert child is parent
     assert grandchild is parent
 
@@ -340,19 +342,19 @@
     return [verdict.retry_after for verdict in verdicts]
 
 
-@then("no two refusals of a moment give the same time to come back")
+@then("no two simultaneous refusals give the same retry time")
 def step_distinct(context):
     times = _refusals(20)
     assert len(set(times)) == len(times), times
 
 
-@then("the times are as far apart as programs begin")
-def step_apart(context):
+@then("the retry times are spaced by the admission interval")
+def step_spaced(context):
     times = sorted(_refusals(10))
     assert times[-1] - times[0] > 9 * 0.4, times
 
 
-@then("a runner's limit falls while calls are slow and grows while not")
+@then("an endpoint's limit falls while calls are slow and grows otherwise")
 def step_limit(context):
     @_EXAMPLES
     @for_any(st.floats(1.0, 200.0))
@@ -367,16 +369,16 @@
     check()
 
 
-def _see(shape, programs, calls, now):
+def _record_programs(profile, programs, calls, now):
     for _ in range(programs):
         for number in range(1, calls + 1):
-            shape.record_call(number, now)
+            profile.record_call(number, now)
 
 
-@given("a class that saw {programs:d} programs of {calls:d} calls")
-def step_saw(context, programs, calls):
+@given("a class that recorded {programs:d} programs of {calls:d} calls")
+def step_recorded(context, programs, calls):
     context.profile = ProgramProfile()
-    _see(context.profile, programs, calls, 100.0)
+    _record_programs(context.profile, programs, calls, 100.0)
     assert context.profile.calls_percentile(95.0) == calls
 
 
@@ -384,10 +386,10 @@
     "it is used again a week later by {programs:d} programs of {calls:d} calls"
 )
 def step_week_later(context, programs, calls):
-    _see(context.profile, programs, calls, 100.0 + 7 * 86_400)
+    _record_programs(context.profile, programs, calls, 100.0 + 7 * 86_400)
 
 
-@then("the percentile {percent:d} of its calls is {calls:d}")
+@then("percentile {percent:d} of its calls is {calls:d}")
 def step_percentile(context, percent, calls):
     assert context.profile.calls_percentile(percent) == calls
     assert round(context.profile.mean_calls()) == calls
--- a/tests/features/steps/leaving.py
+++ b/tests/features/steps/leaving.py
@@ -1,4 +1,4 @@
-"""Steps of endpoints that leave, die or hang."""
+"""Steps for endpoints that leave, crash or hang."""
 
 import contextlib
 import itertools
@@ -18,13 +18,13 @@
 from rattanmill_policy import AspectState
 from support import wait_until
 
-_MOST_BATCHES = 20
-# Far more than what a few calls that an engine kept waiting make it seem.
+_MAX_BATCHES = 20
+# Much slower than an engine appears after a few calls that it delayed.
 _SLOW_FACTOR = 10.0
 
 
 def set_faults(context, name, **faults):
-    """Sets faults that end with the scenario."""
+    """Sets faults that are reset at the end of the scenario."""
     standin = context.system.standins[name]
     before = standin.request("GET", "/faults").json
     standin.faults(**faults)
@@ -36,7 +36,7 @@
 
 @contextlib.contextmanager
 def slowed(context, names):
-    """Makes engines slow for a while."""
+    """Slows engines down for the duration of the context."""
     standins = [context.system.standins[name] for name in names]
     for standin in standins:
         standin.faults(slow_factor=_SLOW_FACTOR)
@@ -47,7 +47,7 @@
             standin.faults(slow_factor=1.0)
 
 
-@when('engine "{name}" begins to drain')
+@when('engine "{name}" starts to drain')
 def step_drain(context, name):
     set_faults(context, name, draining=True)
 
@@ -62,18 +62,18 @@
     set_faults(context, name, hang=True)
 
 
-@when('engine "{name}" moves again')
-def step_move(context, name):
+@when('engine "{name}" stops hanging')
+def step_stop_hanging(context, name):
     set_faults(context, name, hang=False)
 
 
 def call_until(context, count, name, is_reached, domain=0):
-    """Makes batches of calls through a domain until one is at the engine.
+    """Makes batches of calls through a domain until one reaches the engine.
 
-    Which engine a call goes to is the placement's to say. An engine that was
-    slow or frozen a moment ago gets no call while others are free, and one
-    that no call reaches cannot be found to hang by calls: the others are
-    slower meanwhile, which placement learns from their answers.
+    Placement decides which engine a call goes to. An engine that was recently
+    slow or frozen gets no call while others are free, and calls cannot detect
+    that it hangs unless one reaches it. The other engines are slowed down
+    meanwhile, which placement learns from their answers.
     """
     clients = [i.client for i in context.system.in_domain(domain)]
     others = [
@@ -81,14 +81,14 @@
     ]
     context.answers = []
     with slowed(context, others):
-        for _ in range(_MOST_BATCHES):
+        for _ in range(_MAX_BATCHES):
             context.answers += make_calls(context, count, clients)
             if is_reached():
                 return
     raise AssertionError("no call reached the engine")
 
 
-@when('{count:d} calls at once are made until one is at engine "{name}"')
+@when('{count:d} calls at once are made until one reaches engine "{name}"')
 def step_calls_until(context, count, name):
     before = received(context)[name]
     call_until(context, count, name, lambda: received(context)[name] > before)
@@ -144,7 +144,7 @@
     put_list(context, [e for e in read_list(context) if e["name"] != name])
 
 
-@when("the list is as it was")
+@when("the list is restored")
 def step_list_restored(context):
     put_list(context, context.system.endpoint_list())
 
@@ -174,7 +174,7 @@
     assert answer.status == 200, answer
 
 
-@when("calls are made while the list is read again and again")
+@when("calls are made while the list is read repeatedly")
 def step_calls_over_lists(context):
     directory = context.system.standins["directory"]
     enough = directory.stats()["reads"] + 5 * len(context.clients)
@@ -192,7 +192,7 @@
 def step_slow_before(context, name):
     clients = [i.client for i in context.system.in_domain(1)]
     with slowed(context, [name]):
-        for _ in range(_MOST_BATCHES):
+        for _ in range(_MAX_BATCHES):
             before = received(context)[name]
             make_calls(context, 12, clients)
             if received(context)[name] == before:
@@ -218,7 +218,7 @@
 
 
 def closing_signs(context):
-    """Closings that the first failure domain's instances saw or heard of."""
+    """Returns the closing signs counted by each instance of domain 0."""
     return [
         sum(
             i.client.metric("rattanmill_endpoint_signs_total", sign=sign)
@@ -228,17 +228,17 @@
     ]
 
 
-@then('no instance of its domain saw "{name}" closed meanwhile')
+@then('no instance of its domain closed "{name}" meanwhile')
 def step_not_closed(context, name):
-    # The second domain tells every two seconds what it holds.
-    told = [i.client for i in context.system.in_domain(1)]
-    rounds = [c.metric("rattanmill_note_rounds_total") for c in told]
+    # The second domain sends its notes every two seconds.
+    clients = [i.client for i in context.system.in_domain(1)]
+    rounds = [c.metric("rattanmill_note_rounds_total") for c in clients]
     wait_until(
         lambda: all(
             c.metric("rattanmill_note_rounds_total") > before + 1
-            for c, before in zip(told, rounds, strict=True)
+            for c, before in zip(clients, rounds, strict=True)
         ),
-        "notes were told twice more",
+        "notes were sent twice more",
     )
     assert closing_signs(context) == context.signs_before
     assert set(phases(context, name).values()) == {"live", "down"}
@@ -264,20 +264,20 @@
     context.notes = NOTES
 
 
-@then("instances that hear them in any order agree")
+@then("instances that receive them in any order agree")
 def step_agree(context):
     @CHECKS
     @given_any(context.notes, strategies.randoms(use_true_random=False))
     def check(notes, random):
-        one, other = AspectState(Aspect.REACH), AspectState(Aspect.REACH)
+        first, second = AspectState(Aspect.REACH), AspectState(Aspect.REACH)
         shuffled = list(notes) * 2
         random.shuffle(shuffled)
         for note in notes:
-            one.merge(note, 0.0)
+            first.merge(note, 0.0)
         for note in shuffled:
-            other.merge(note, 0.0)
-        assert one.closed == other.closed, (notes, shuffled)
-        assert one.generation == other.generation
+            second.merge(note, 0.0)
+        assert first.closed == second.closed, (notes, shuffled)
+        assert first.generation == second.generation
 
     check()
 
@@ -287,26 +287,26 @@
     @CHECKS
     @given_any(context.notes)
     def check(notes):
-        mark = AspectState(Aspect.REACH)
-        mark.close(Sign.REFUSED, time.monotonic())
-        assert not any(mark.merge(note, 1.0) for note in notes)
-        assert mark.closed
+        aspect = AspectState(Aspect.REACH)
+        aspect.close(Sign.REFUSED, time.monotonic())
+        assert not any(aspect.merge(note, 1.0) for note in notes)
+        assert aspect.closed
 
     check()
 
 
-@then("an endpoint that fails again and again is tried less and less")
+@then("an endpoint that keeps failing is tried less and less often")
 def step_less_and_less(context):
-    mark = AspectState(Aspect.REACH)
+    aspect = AspectState(Aspect.REACH)
     now = 0.0
     tries = []
     while now < 120.0:
-        if not mark.closed:
+        if not aspect.closed:
             tries.append(now)
-            mark.close(Sign.REFUSED, now)
+            aspect.close(Sign.REFUSED, now)
         now += 0.5
-        if mark.record_probe(True, now):
-            mark.reopen(now)
+        if aspect.record_probe(True, now):
+            aspect.reopen(now)
     gaps = [b - a for a, b in itertools.pairwise(tries)]
     assert len(tries) <= 8, tries
     assert gaps == sorted(gaps), gaps
--- a/tests/features/steps/loops.py
+++ b/tests/features/steps/loops.py
@@ -1,4 +1,4 @@
-"""Steps of tasks that must go on."""
+"""Steps for background tasks that must not end."""
 
 import asyncio
 
@@ -8,20 +8,22 @@
 
 
 async def fail():
-    raise ValueError("a value that nobody thought of")
+    raise ValueError("an unexpected value")
 
 
 async def end():
     await asyncio.sleep(0)
 
 
-def told_of(name, work, *, cancel=False):
-    """Runs a task to its end; returns what the event loop was told."""
-    told = []
+def reported_by(name, work, *, cancel=False):
+    """Runs a task to its end; returns the exceptions the loop received."""
+    reported = []
 
     async def run():
         loop = asyncio.get_running_loop()
-        loop.set_exception_handler(lambda _, found: told.append(found))
+        loop.set_exception_handler(
+            lambda _, error_context: reported.append(error_context)
+        )
         task = start_loop(name, work)
         if cancel:
             task.cancel()
@@ -29,30 +31,30 @@
         await asyncio.sleep(0)
 
     asyncio.run(run())
-    return [found["exception"] for found in told]
+    return [error_context["exception"] for error_context in reported]
 
 
-@when('the task of the "{name}" fails')
+@when('the task "{name}" fails')
 def step_fails(context, name):
-    context.told = told_of(name, fail())
+    context.reported = reported_by(name, fail())
 
 
-@when('the task of the "{name}" returns')
+@when('the task "{name}" returns')
 def step_returns(context, name):
-    context.told = told_of(name, end())
+    context.reported = reported_by(name, end())
 
 
-@when('the task of the "{name}" is cancelled')
+@when('the task "{name}" is cancelled')
 def step_cancelled(context, name):
-    context.told = told_of(name, asyncio.sleep(3600), cancel=True)
+    context.reported = reported_by(name, asyncio.sleep(3600), cancel=True)
 
 
-@then("the event loop is told of {count:d} broken invariants")
-def step_told(context, count):
-    assert len(context.told) == count, context.told
-    assert all(isinstance(e, InvariantError) for e in context.told)
+@then("the event loop receives {count:d} broken invariants")
+def step_reported(context, count):
+    assert len(context.reported) == count, context.reported
+    assert all(isinstance(e, InvariantError) for e in context.reported)
 
 
 @then('the message names the "{name}"')
 def step_named(context, name):
-    assert name in context.told[0].message, context.told
+    assert name in context.reported[0].message, context.reported
--- a/tests/features/steps/memory.py
+++ b/tests/features/steps/memory.py
@@ -1,4 +1,4 @@
-"""Steps of engine memory held for programs."""
+"""Steps for engine memory pinned for programs."""
 
 from behave import given, then, when
 from hypothesis import given as given_any
@@ -8,13 +8,13 @@
 from support import Client, EngineSpec, Layout, start, wait_until
 from support.stack import ALBA, random_text
 
-# The engine stands in the second domain, the programs' owners in the first.
+# The engine is in the second domain, the owners of the programs in the first.
 LAYOUT = Layout(
     domains=ALBA[:2], engines=[EngineSpec("engine-1", 1)], services=[]
 )
 
 
-@given("engines that keep caches for programs, with fencing {fencing}")
+@given("engines that pin caches for programs, with fencing {fencing}")
 def step_engines(context, fencing):
     start(context, LAYOUT)
     context.system.heal()
@@ -52,7 +52,7 @@
 @when("a program of {seconds:d} seconds has a long turn")
 def step_short_life(context, seconds):
     context.program = make_program(context, seconds=seconds)
-    step_holds(context)
+    step_pinned(context)
 
 
 @when("another program of the same owner has a long turn")
@@ -62,35 +62,39 @@
         context.other = make_program(context)
         if context.system.owner_of(context.other).name == owner.name:
             break
-        end(context, context.other)
-    wait_until(lambda: context.other in pins(context), "it is pinned")
-    step_holds(context)
+        end_program(context, context.other)
+    wait_until(
+        lambda: context.other in pins(context), "the other program is pinned"
+    )
+    step_pinned(context)
 
 
-@then("an engine holds memory for it")
-def step_holds(context):
+@then("an engine holds a pin for it")
+def step_pinned(context):
     wait_until(
         lambda: pins(context).get(context.program), "the program is pinned"
     )
 
 
-@then("no engine holds memory")
-def step_no_memory(context):
+@then("no engine holds a pin")
+def step_no_pin(context):
     wait_until(lambda: not pins(context), lambda: f"pins: {pins(context)}")
 
 
-@then("engines hold memory for the other program only")
+@then("engines hold pins for the other program only")
 def step_other_only(context):
     wait_until(
         lambda: set(pins(context)) == {context.other},
         lambda: f"pins: {pins(context)}, not only {context.other}",
     )
-    sweeps = swept(context)
-    wait_until(lambda: swept(context) > sweeps + 1, "pins are swept twice")
+    sweeps = sweep_count(context)
+    wait_until(
+        lambda: sweep_count(context) > sweeps + 1, "pins are swept twice"
+    )
     assert set(pins(context)) == {context.other}, pins(context)
 
 
-def swept(context):
+def sweep_count(context):
     return sum(
         instance.client.metric("rattanmill_pin_sweeps_total")
         for instance in context.system.in_domain(1)
@@ -99,20 +103,20 @@
 
 @when("the program is ended")
 def step_end(context):
-    end(context, context.program)
+    end_program(context, context.program)
 
 
 @when("the program is ended through another instance")
 def step_end_elsewhere(context):
-    end(context, context.program)
+    end_program(context, context.program)
 
 
 @when("the other program is ended")
 def step_end_other(context):
-    end(context, context.other)
+    end_program(context, context.other)
 
 
-def end(context, program):
+def end_program(context, program):
     instance = next(
         i
         for i in context.system.instances
@@ -159,8 +163,8 @@
     )
 
 
-@when("the old owner wakes up")
-def step_wake(context):
+@when("the old owner resumes")
+def step_resume_owner(context):
     context.system.instance(context.paused).process.resume()
 
 
@@ -169,14 +173,14 @@
 )
 def step_cut_and_sweep(context, count):
     context.system.cut(0, kv=False, domains=True)
-    sweeps = swept(context)
-    wait_until(lambda: swept(context) >= sweeps + count, "pins are swept")
+    sweeps = sweep_count(context)
+    wait_until(lambda: sweep_count(context) >= sweeps + count, "pins are swept")
 
 
-@when("the cut ends and the program is ended")
+@when("the partition ends and the program is ended")
 def step_heal_and_end(context):
     context.system.heal()
-    end(context, context.program)
+    end_program(context, context.program)
 
 
 PAUSES = strategies.lists(strategies.floats(0.5, 20.0), min_size=1, max_size=12)
@@ -184,12 +188,12 @@
 
 
 def after_pauses(pauses):
-    pinned, now = ProgramPins(), 0.0
+    program_pins, now = ProgramPins(), 0.0
     for pause in pauses:
-        pinned.paused_at = now
+        program_pins.paused_at = now
         now += pause
-        pinned.end_pause(now)
-    return pinned
+        program_pins.end_pause(now)
+    return program_pins
 
 
 @given("any pauses of a program")
@@ -197,7 +201,7 @@
     context.pauses = PAUSES
 
 
-@then("a pin outlasts the usual pause and is dropped after a much longer one")
+@then("a pin outlasts the usual pause and expires after a much longer one")
 def step_outlasts(context):
     @CHECKS
     @given_any(context.pauses)
@@ -215,11 +219,11 @@
     assert not after_pauses([600.0] * 5).should_pin(1000)
 
 
-@then("all pin orders together stay near the length of the conversation")
-def step_orders(context):
-    pinned, sent = ProgramPins(), 0
+@then("all pin requests together stay near the length of the conversation")
+def step_pin_requests(context):
+    program_pins, sent = ProgramPins(), 0
     for tokens in range(1000, 170_000, 400):
-        if not pinned.covers("engine-1", tokens):
-            pinned.pins["engine-1"] = Pin(tokens, 0.0)
+        if not program_pins.covers("engine-1", tokens):
+            program_pins.pins["engine-1"] = Pin(tokens, 0.0)
             sent += tokens
     assert sent < 6 * 170_000, sent
--- a/tests/features/steps/placement.py
+++ b/tests/features/steps/placement.py
@@ -1,4 +1,4 @@
-"""Steps of placement."""
+"""Steps for placement."""
 
 import asyncio
 import random
@@ -32,20 +32,21 @@
     context.make = make
 
 
-@given('runners "{names}" that take {seconds:f} s a call')
-def step_runners(context, names, seconds):
+@given('endpoints "{names}" that take {seconds:f} s per call')
+def step_endpoints(context, names, seconds):
     _plan(context, names, seconds, lambda *args: Scheduler(*args, seed=1))
 
 
 @given(
-    'runners "{names}" that take {seconds:f} s a call, before the naive version'
+    'endpoints "{names}" that take {seconds:f} s per call,'
+    " with the naive scheduler"
 )
-def step_naive_runners(context, names, seconds):
+def step_naive_endpoints(context, names, seconds):
     _plan(context, names, seconds, Naive)
 
 
-@given('runner "{name}" that takes {seconds:f} s a call')
-def step_runner(context, name, seconds):
+@given('endpoint "{name}" that takes {seconds:f} s per call')
+def step_endpoint(context, name, seconds):
     context.seconds[name] = seconds
 
 
@@ -68,7 +69,7 @@
     context.plan = [*getattr(context, "plan", []), ("calls", count, at_once)]
 
 
-@when('runner "{name}" keeps one call for {seconds:d} s')
+@when('endpoint "{name}" keeps one call for {seconds:d} s')
 def step_keeps(context, name, seconds):
     context.plan.append(("keep", name, seconds))
 
@@ -76,8 +77,8 @@
 async def _run_plan(context):
     fleet = _fleet(context)
     counts = []
-    for act in context.plan:
-        match act:
+    for action in context.plan:
+        match action:
             case ("calls", count, at_once):
                 before = fleet.run_counts.copy()
                 await _calls(fleet, count, at_once)
@@ -87,25 +88,25 @@
     return counts
 
 
-@then('runner "{slow}" ran under a third of what "{name}" ran')
+@then('endpoint "{slow}" ran less than a third as many calls as "{name}"')
 def step_third(context, slow, name):
     ran = run_virtually(_run_plan(context))[-1]
     assert 3 * ran[slow] < ran[name], ran
 
 
-@then('runner "{slow}" ran as much as "{name}"')
+@then('endpoint "{slow}" ran as many calls as "{name}"')
 def step_as_much(context, slow, name):
     ran = run_virtually(_run_plan(context))[-1]
     assert ran[slow] == ran[name], ran
 
 
-@then('runner "{name}" ran at most {most:d} of the last calls')
+@then('endpoint "{name}" ran at most {most:d} of the last calls')
 def step_at_most(context, name, most):
     ran = run_virtually(_run_plan(context))[-1]
     assert ran[name] <= most, ran
 
 
-@when("a conversation of 20 turns is held while others come and go")
+@when("a conversation of 20 turns runs beside other calls")
 def step_conversation(context):
     async def talk():
         fleet = _fleet(context)
@@ -118,20 +119,20 @@
                 prefixes=conversation_prefixes("talk", turn + 1),
                 prompt_tokens=500 * (turn + 1),
             )
-            placed = await fleet.call(work)
-            names.append(placed.state.endpoint.name)
+            placement = await fleet.call(work)
+            names.append(placement.state.endpoint.name)
         await others
         return names
 
     context.names = run_virtually(talk())
 
 
-@then("one runner ran all 20 turns")
-def step_one_runner(context):
+@then("one endpoint ran all 20 turns")
+def step_one_endpoint(context):
     assert len(set(context.names)) == 1, context.names
 
 
-@when("a conversation's runner gets {count:d} calls of others")
+@when("a conversation's endpoint gets {count:d} other calls")
 def step_busy(context, count):
     async def talk():
         fleet = _fleet(context)
@@ -149,13 +150,13 @@
     context.first, context.second = run_virtually(talk())
 
 
-@then("the conversation's next turn goes to the other runner")
+@then("the conversation's next turn goes to the other endpoint")
 def step_other(context):
     assert context.first is not context.second
 
 
-@then("what an answer says was not cached is not believed any longer")
-def step_not_believed(context):
+@then("a prefix that an answer reports as not cached is discarded")
+def step_discarded(context):
     context.prefixes = PrefixMap()
     old, new = (
         chat_work(name, prefixes=conversation_prefixes(name, 3))
@@ -167,13 +168,13 @@
     later = chat_work("later", prefixes=conversation_prefixes("later", 3))
     context.later = later
     context.prefixes.record_prompt(later, "a", 30.0)
-    held = context.prefixes.find(new)["a"]
-    context.prefixes.record_answer("a", held.tokens, held.last_used, 0)
+    cached = context.prefixes.find(new)["a"]
+    context.prefixes.record_answer("a", cached.tokens, cached.last_used, 0)
     assert not context.prefixes.find(new)
     assert context.prefixes.find(later)
 
 
-@then("neither is anything that was last used before it")
+@then("so are all prefixes that were last used before it")
 def step_older(context):
     assert not context.prefixes.find(context.old)
 
@@ -184,13 +185,13 @@
     @for_any(_NAMES, st.binary(min_size=1), st.randoms())
     def check(names, digest, rng):
         shuffled = rng.sample(sorted(names), len(names))
-        one, other = Ring(sorted(names)), Ring(shuffled)
-        assert one.homes(digest, 2) == other.homes(digest, 2)
+        first, second = Ring(sorted(names)), Ring(shuffled)
+        assert first.homes(digest, 2) == second.homes(digest, 2)
 
     check()
 
 
-@then("when a runner goes, only the prefixes at home there move")
+@then("when an endpoint is removed, only the prefixes at home there move")
 def step_few_move(context):
     @_EXAMPLES
     @for_any(_NAMES, st.binary(min_size=1))
@@ -203,7 +204,7 @@
     check()
 
 
-@then("a ring that was changed step by step is the same as one made at once")
+@then("a ring updated step by step equals one built at once")
 def step_same_ring(context):
     @_EXAMPLES
     @for_any(st.lists(_NAMES, min_size=1, max_size=6))
@@ -216,7 +217,7 @@
     check()
 
 
-@when('"a" is the faster one but has its one place taken')
+@when('"a" is the faster endpoint but its only slot is taken')
 def step_place_taken(context):
     async def run():
         fleet = _fleet(context)
@@ -228,16 +229,16 @@
         held = await fleet.hold(chat_work("holder"))
         assert held.state.endpoint.name == "a", held.state.endpoint
         began = asyncio.get_running_loop().time()
-        placed = await fleet.hold(chat_work("next"))
+        placement = await fleet.hold(chat_work("next"))
         waited = asyncio.get_running_loop().time() - began
-        return placed.state.endpoint.name, waited
+        return placement.state.endpoint.name, waited
 
-    context.placed = run_virtually(run())
+    context.placement = run_virtually(run())
 
 
 @then('the next call goes to "b" at once')
 def step_to_b(context):
-    assert context.placed == ("b", 0.0), context.placed
+    assert context.placement == ("b", 0.0), context.placement
 
 
 @then("more load, less cache or a slower measurement never lowers the cost")
@@ -254,9 +255,9 @@
         stats = EndpointStats(4.0)
         stats.slots = 8
 
-        def cost(load, held, factor):
+        def cost(load, cached, factor):
             speed = BlendedSpeed(prefill * factor, decode * factor, 0.1)
-            return estimate(stats, speed, load, call, held, 0.0).cost
+            return estimate(stats, speed, load, call, cached, 0.0).cost
 
         least = cost(in_flight, cached, 1.0)
         assert least <= cost(in_flight + 1, cached, 1.0)
@@ -272,10 +273,10 @@
 
     @_EXAMPLES
     @for_any(shares, shares, st.floats(0.0, 100.0))
-    def check(one, other, age):
+    def check(first, second, age):
         low, high = (
             cache_price(WorkClass(wasted_cache_share=share), age)
-            for share in (max(one, other), min(one, other))
+            for share in (max(first, second), min(first, second))
         )
         assert 0 <= low <= high
 
@@ -288,9 +289,9 @@
     assert cache_price(klass, 10.0) == 0
 
 
-@given("{count:d} runners")
+@given("{count:d} endpoints")
 def step_many(context, count):
-    names = ", ".join(f"runner-{number}" for number in range(count))
+    names = ", ".join(f"endpoint-{number}" for number in range(count))
     _plan(context, names, 0.2, lambda *args: Scheduler(*args, seed=1))
 
 
@@ -306,14 +307,14 @@
             )
             await fleet.call(work)
             known = fleet.scheduler.state
-            held = cached_prefixes(known, work)
-            found = known.candidates.select(work, held)
+            cached = cached_prefixes(known, work)
+            found = known.candidates.select(work, cached)
             assert 1 < len(found) <= most, len(found)
 
     run_virtually(look())
 
 
-@when("{count:d} calls ask for models that nobody serves")
+@when("{count:d} calls request models that no endpoint serves")
 def step_unknown_models(context, count):
     async def run():
         context.fleet = _fleet(context)
@@ -323,7 +324,7 @@
     context.refusals = run_virtually(run())
 
 
-@then('each is refused as "unknown_model", and nothing is kept of them')
+@then('each is refused as "unknown_model" and no state is kept for them')
 def step_nothing_kept(context):
     reasons = {refusal.reason for refusal in context.refusals}
     assert reasons == {Reason.UNKNOWN_MODEL}, reasons
--- a/tests/features/steps/quarantine.py
+++ b/tests/features/steps/quarantine.py
@@ -1,4 +1,4 @@
-"""Steps of requests that crash engines."""
+"""Steps for the quarantine of requests that crash engines."""
 
 import concurrent.futures
 import itertools
@@ -31,18 +31,18 @@
 @given("engines that a marked request crashes")
 def step_engines(context):
     start(context, LAYOUT)
-    restart_dead(context)
+    restart_crashed(context)
     context.marked = f"{MARKER} {random_text(200)}"
     for name in NAMES:
         context.system.standins[name].faults(crash_marker=MARKER, hang=False)
 
 
-def dead(context):
+def crashed_engines(context):
     return [n for n in NAMES if not context.system.processes[n].alive]
 
 
-def restart_dead(context):
-    for name in dead(context):
+def restart_crashed(context):
+    for name in crashed_engines(context):
         context.system.restart_engine(name)
     wait_until(
         lambda: all(
@@ -59,12 +59,12 @@
     context.refused = [client.chat(context.marked) for client in clients]
 
 
-@when("a program gets to a marked turn {count:d} times, each time anew")
+@when("{count:d} new programs each reach a marked turn")
 def step_program_marked(context, count):
     context.refused = []
     for client in context.clients[:count]:
         program = client.create()
-        # The engines answer by what they are asked: another first turn gets
+        # The answer of an engine depends on the prompt: another first turn gets
         # another answer, as from a model that samples.
         assert client.chat(random_text(), program, 1).status == 200
         context.refused.append(client.chat(context.marked, program, 2))
@@ -80,12 +80,12 @@
 
 @then("{count:d} engines were lost")
 def step_lost(context, count):
-    assert len(dead(context)) == count, dead(context)
+    assert len(crashed_engines(context)) == count, crashed_engines(context)
 
 
-@when("the engines are started again")
+@when("the engines are restarted")
 def step_started_again(context):
-    restart_dead(context)
+    restart_crashed(context)
 
 
 @then("all other calls are answered")
@@ -95,27 +95,30 @@
 
 
 @when("the marked request is sent while {count:d} others are in flight")
-def step_beside(context, count):
+def step_send_marked_beside_others(context, count):
     context.texts = [random_text() for _ in range(count)]
     system = context.system
     for name in NAMES:
         system.standins[name].faults(hang=True)
 
     def poison():
-        wait_until(lambda: waiting(context) >= count, "the others are there")
+        wait_until(
+            lambda: active_calls(context) >= count,
+            "the other calls are in flight",
+        )
         context.refused = [context.clients[0].chat(context.marked)]
 
     with concurrent.futures.ThreadPoolExecutor(count + 1) as pool:
         others = send_texts(context, pool)
         poisoned = pool.submit(poison)
-        wait_until(lambda: dead(context), "an engine crashed")
-        for name in set(NAMES) - set(dead(context)):
+        wait_until(lambda: crashed_engines(context), "an engine crashed")
+        for name in set(NAMES) - set(crashed_engines(context)):
             system.standins[name].faults(hang=False)
         context.answers = [other.result() for other in others]
         poisoned.result()
 
 
-def waiting(context):
+def active_calls(context):
     loads = [
         context.system.standins[name].request("GET", "/v1/load").json
         for name in NAMES
@@ -159,7 +162,7 @@
     ]
 
 
-@when("a marked deposit is sent under ever new keys until it is quarantined")
+@when("a marked deposit is sent under new keys until it is quarantined")
 def step_deposit(context):
     body = f"deposit {context.marked}"
     context.refused = []
@@ -170,7 +173,9 @@
     raise AssertionError(context.refused)
 
 
-@then("it had run {count:d} times, and each other send was refused as not run")
+@then(
+    "it had run {count:d} times, and all other attempts were refused as not run"
+)
 def step_ran_before(context, count):
     problems = [answer.json for answer in context.refused]
     ran = [p for p in problems if p["ran"] != "no"]
@@ -186,12 +191,14 @@
 @when("the first failure domain loses its engines with {count:d} in flight")
 def step_lose_domain(context, count):
     context.texts = [random_text() for _ in range(count)]
-    context.suspected = suspected(context)
+    context.suspected = suspected_count(context)
     for name in NAMES:
         context.system.standins[name].faults(hang=True)
     with concurrent.futures.ThreadPoolExecutor(count) as pool:
         others = send_texts(context, pool)
-        wait_until(lambda: waiting(context) >= count, "the calls are there")
+        wait_until(
+            lambda: active_calls(context) >= count, "the calls are in flight"
+        )
         lost = [s.name for s in LAYOUT.engines if s.domain == 0]
         for name in lost:
             os.kill(context.system.processes[name].pid, signal.SIGKILL)
@@ -200,7 +207,7 @@
         context.answers = [other.result() for other in others]
 
 
-def suspected(context):
+def suspected_count(context):
     return sum(
         client.metric("rattanmill_quarantine_total", event="suspected")
         for client in context.clients
@@ -208,8 +215,8 @@
 
 
 @then("no call is suspected")
-def step_nobody_suspected(context):
-    assert suspected(context) == context.suspected
+def step_no_suspects(context):
+    assert suspected_count(context) == context.suspected
 
 
 @when("the instance that it was sent through is killed and started again")
@@ -223,13 +230,13 @@
     )
 
 
-@then('the new instance comes to refuse it as "{reason}"')
+@then('the new instance refuses it as "{reason}"')
 def step_new_refuses(context, reason):
     client = context.system.instances[0].client
-    # Asking by a call would cost engines: the metric tells that it heard.
+    # Checks the metric, since checking with a call could crash an engine.
     wait_until(
         lambda: client.metric("rattanmill_quarantine_total", event="heard"),
-        "the new instance heard of the crashes",
+        "the new instance received the crash notes",
     )
     context.refused = [client.chat(context.marked)]
     step_refused(context, reason, "no", "no")
@@ -238,7 +245,7 @@
 @when("a call loses its engine and is answered by another")
 @when("the same call loses its engine again")
 def step_coincidence(context):
-    restart_dead(context)
+    restart_crashed(context)
     for name in NAMES:
         context.system.standins[name].faults(hang=True)
     context.innocent = getattr(context, "innocent", random_text())
@@ -247,7 +254,7 @@
     context.answer = context.clients[0].chat(context.innocent)
     thread.join()
     step_innocent_answered(context)
-    assert dead(context)
+    assert crashed_engines(context)
 
 
 def kill_busy(context):
@@ -273,16 +280,16 @@
 
 
 BASE = int(time.time() * 1000) - 60_000
-PRINTS = [bytes([n]) * 16 for n in range(3)]
+FINGERPRINTS = [bytes([n]) * 16 for n in range(3)]
 EVENTS = strategies.lists(
     strategies.builds(
         lambda fingerprint, endpoint, at: CrashNote(
             fingerprint, endpoint, at, fingerprint
         ),
-        fingerprint=strategies.sampled_from(PRINTS),
+        fingerprint=strategies.sampled_from(FINGERPRINTS),
         endpoint=strategies.sampled_from(["", "engine-1", "engine-2"]),
-        # Apart by more than the reports of one crash, as separate crashes
-        # of one engine are, which has to be started again meanwhile.
+        # Far enough apart not to be reports of the same crash, since an engine
+        # has to be restarted between two crashes.
         at=strategies.integers(1, 6).map(lambda step: BASE + step * 5_000),
     ),
     max_size=12,
@@ -290,7 +297,7 @@
 CHECKS = settings(max_examples=300, deadline=None, derandomize=True)
 
 
-def told(events):
+def quarantine_after(events):
     quarantine = Quarantine()
     for event in events:
         quarantine.record(event)
@@ -302,71 +309,71 @@
     context.events = EVENTS
 
 
-@then("instances that hear of them in any order agree on whom to refuse")
+@then("instances that receive them in any order refuse the same requests")
 def step_orders_agree(context):
     @CHECKS
     @given_any(context.events, strategies.randoms(use_true_random=False))
     def check(events, random):
         shuffled = list(events) * 2
         random.shuffle(shuffled)
-        one, other = told(events), told(shuffled)
-        for fingerprint in PRINTS:
-            assert one.is_quarantined(fingerprint) == other.is_quarantined(
+        first, second = quarantine_after(events), quarantine_after(shuffled)
+        for fingerprint in FINGERPRINTS:
+            assert first.is_quarantined(fingerprint) == second.is_quarantined(
                 fingerprint
             ), (events, shuffled)
 
     check()
 
 
-@then("of two that crashed together only the one that crashes alone is refused")
+@then("of two suspects only the one that crashes an engine alone is refused")
 def step_two_suspects(context):
-    guilty, innocent = PRINTS[:2]
+    guilty, innocent = FINGERPRINTS[:2]
     both = [
         CrashNote(fingerprint, engine, at + late, fingerprint)
         for engine, at in (("engine-1", BASE), ("engine-2", BASE + 5_000))
         for fingerprint, late in ((guilty, 0), (innocent, 300))
     ]
-    quarantine = told(both)
+    quarantine = quarantine_after(both)
     assert not quarantine.is_quarantined(guilty)
     assert not quarantine.is_quarantined(innocent)
     alone = CrashNote(guilty, "engine-3", BASE + 10_000, guilty)
-    quarantine = told([*both, alone])
+    quarantine = quarantine_after([*both, alone])
     assert quarantine.is_quarantined(guilty)
     assert not quarantine.is_quarantined(innocent)
 
 
-@then("suspects of one crash run again one after the other, everywhere alike")
-def step_places_differ(context):
-    crash = [CrashNote(each, "engine-1", BASE, each) for each in PRINTS]
-    # Of another crash: no reason to wait for it.
+@then("all instances retry the suspects of a crash in the same order")
+def step_retry_order(context):
+    crash = [CrashNote(each, "engine-1", BASE, each) for each in FINGERPRINTS]
+    # Belongs to another crash, so there is no reason to wait for it.
     beside = CrashNote(b"beside" * 2, "engine-2", BASE, b"beside" * 2)
     for order in itertools.permutations([*crash, beside]):
-        quarantine = told(order)
-        places = list(map(quarantine.retry_position, PRINTS))
-        assert places == [0, 1, 2], places
+        quarantine = quarantine_after(order)
+        positions = list(map(quarantine.retry_position, FINGERPRINTS))
+        assert positions == [0, 1, 2], positions
         assert quarantine.retry_position(beside.fingerprint) == 0
     assert quarantine.retry_position(b"never seen") == 0
 
 
-@then("a request that is finished between crashes is never refused")
+@then("a request that completes between crashes is never refused")
 def step_finished_between(context):
     now = int(time.time() * 1000)
     events = []
     for step in range(5):
         at = now - 60_000 + step * 10_000
         events += [
-            CrashNote(PRINTS[0], "engine-1", at),
-            CrashNote(PRINTS[0], "", at + 5_000),
+            CrashNote(FINGERPRINTS[0], "engine-1", at),
+            CrashNote(FINGERPRINTS[0], "", at + 5_000),
         ]
-        assert not told(events).is_quarantined(PRINTS[0])
-    without = told([event for event in events if event.endpoint])
-    assert without.is_quarantined(PRINTS[0])
+        assert not quarantine_after(events).is_quarantined(FINGERPRINTS[0])
+    without = quarantine_after([event for event in events if event.endpoint])
+    assert without.is_quarantined(FINGERPRINTS[0])
 
 
-@then("what is kept is bounded")
+@then("the number of suspects is bounded")
 def step_bounded(context):
     now = int(time.time() * 1000)
-    quarantine = told(
+    quarantine = quarantine_after(
         CrashNote(number.to_bytes(16, "big"), "engine-1", now - 20_000 + number)
         for number in range(10_200)
     )
--- a/tests/features/steps/retries.py
+++ b/tests/features/steps/retries.py
@@ -1,4 +1,4 @@
-"""Steps of retries."""
+"""Steps for retries."""
 
 import concurrent.futures
 
@@ -22,34 +22,32 @@
 _EXAMPLES = settings(max_examples=200, deadline=None, derandomize=True)
 
 
-def _broken(names, failing, make):
-    fleet = Fleet(dict.fromkeys(names, 0.2), make)
+def _failing_fleet(names, failing, make_scheduler):
+    fleet = Fleet(dict.fromkeys(names, 0.2), make_scheduler)
     fleet.failing = set(failing)
-    # A table that closes what fails would hide the retries.
+    # Closing failed endpoints would hide the retries.
     fleet.table.record_outcome = lambda state, outcome: None
     return fleet
 
 
-def _ours(*args):
+def _make_scheduler(*args):
     return Scheduler(*args, seed=1)
 
 
-@given('runners "a, b, c" of which all break each call')
+@given('endpoints "a, b, c" that all break each call')
 def step_all_break(context):
-    context.make = _ours
+    context.make_scheduler = _make_scheduler
 
 
-@given(
-    'runners "a, b, c" of which all break each call, before the naive version'
-)
+@given('endpoints "a, b, c" that all break each call, with the naive scheduler')
 def step_all_break_naive(context):
-    context.make = Naive
+    context.make_scheduler = Naive
 
 
 @when("{count:d} calls are made one after the other")
 def step_calls(context, count):
     async def run():
-        fleet = _broken("abc", "abc", context.make)
+        fleet = _failing_fleet("abc", "abc", context.make_scheduler)
         for number in range(count):
             await fleet.call(chat_work(f"program-{number}"))
         return fleet
@@ -58,25 +56,25 @@
     context.count = count
 
 
-@then("fewer than 10 in 100 calls were tried again")
-def step_few_again(context):
-    again = context.fleet.run_counts.total() - context.count
-    assert 0 < again < context.count / 10, again
+@then("fewer than 10 in 100 calls were retried")
+def step_few_retries(context):
+    retries = context.fleet.run_counts.total() - context.count
+    assert 0 < retries < context.count / 10, retries
 
 
 @then("each call was tried 3 times")
-def step_all_again(context):
+def step_all_retried(context):
     assert context.fleet.run_counts.total() == 3 * context.count
 
 
-@given('runners "a, b" of which "a" breaks each call')
+@given('endpoints "a, b" of which "a" breaks each call')
 def step_a_breaks(context):
-    context.make = _ours
+    context.make_scheduler = _make_scheduler
 
 
-@given('runners "a, b, c, d" of which "a" breaks each call and "b, c" are down')
+@given('endpoints "a, b, c, d" of which "a" breaks calls and "b, c" are down')
 def step_a_breaks_others_down(context):
-    context.make = _ours
+    context.make_scheduler = _make_scheduler
     context.names = "abcd"
     context.down = "bc"
 
@@ -87,37 +85,37 @@
     context.failed_at = set(failing.split(", "))
 
     async def run():
-        fleet = _broken(names, "a", context.make)
+        fleet = _failing_fleet(names, "a", context.make_scheduler)
         fleet.down = set(getattr(context, "down", ""))
         for number in range(100):
-            placed = await fleet.call(chat_work(f"program-{number}"))
-            if set(placed.work.tried) == context.failed_at:
-                return placed
+            placement = await fleet.call(chat_work(f"program-{number}"))
+            if set(placement.work.tried) == context.failed_at:
+                return placement
         raise AssertionError(f"no call met all of {failing}")
 
-    context.placed = run_virtually(run())
+    context.placement = run_virtually(run())
 
 
 @then('it is answered by "{name}"')
 def step_by(context, name):
-    tried = context.placed.work.tried
+    tried = context.placement.work.tried
     assert sorted(tried) == sorted(context.failed_at), tried
-    assert context.placed.state.endpoint.name == name
-    assert context.placed.outcome is Outcome.ANSWERED
+    assert context.placement.state.endpoint.name == name
+    assert context.placement.outcome is Outcome.ANSWERED
 
 
-@given("a system with two runners")
-def step_two_runners(context):
-    runners = [EngineSpec("runner-1"), EngineSpec("runner-2")]
-    layout = Layout(domains=("alba-east",), per_domain=1, engines=runners)
+@given("a system with two endpoints")
+def step_two_endpoints(context):
+    endpoints = [EngineSpec("endpoint-1"), EngineSpec("endpoint-2")]
+    layout = Layout(domains=("alba-east",), per_domain=1, engines=endpoints)
     start(context, layout)
-    context.runners = ["runner-1", "runner-2"]
+    context.endpoints = ["endpoint-1", "endpoint-2"]
 
 
-@when("the runner that has a call is killed")
+@when("the endpoint that runs a call is killed")
 def step_kill(context):
     standins = context.system.standins
-    for name in context.runners:
+    for name in context.endpoints:
         standins[name].faults(hang=True)
     (client,) = context.clients
     pool = concurrent.futures.ThreadPoolExecutor(1)
@@ -126,42 +124,42 @@
 
     def busy():
         return next(
-            (n for n in context.runners if standins[n].stats().get("calls")),
+            (n for n in context.endpoints if standins[n].stats().get("calls")),
             None,
         )
 
-    context.killed = wait_until(busy, "a runner has the call")
-    context.other = next(n for n in context.runners if n != context.killed)
+    context.killed = wait_until(busy, "an endpoint has the call")
+    context.other = next(n for n in context.endpoints if n != context.killed)
     standins[context.other].faults(hang=False)
     context.system.processes[context.killed].kill()
 
 
-@then("the call is answered by the other one")
+@then("the call is answered by the other endpoint")
 def step_other_answers(context):
     answer = context.task.result()
     assert answer.status == 200, answer
     assert context.system.standins[context.other].stats()["calls"] == 1
 
 
-@then("retries never pass 8 in 100 first tries and the ten of the start")
+@then("retries never exceed 8 in 100 first tries plus the initial ten")
 def step_budget(context):
     @_EXAMPLES
     @for_any(st.lists(st.booleans(), max_size=500))
     def check(events):
         budget = RetryBudget()
-        first = again = 0
+        first = retries = 0
         for is_first in events:
             if is_first:
                 first += 1
                 budget.deposit("a")
             else:
-                again += budget.try_withdraw("a")
-            assert again <= 10 + 0.08 * first + 1e-9
+                retries += budget.try_withdraw("a")
+            assert retries <= 10 + 0.08 * first + 1e-9
 
     check()
 
 
-@then("a call past its deadline is not tried again")
+@then("a call past its deadline is not retried")
 def step_past_deadline(context):
     work = chat_work("late", seconds_left=5.0)
     work.started_at, work.deadline = 100.0, 105.0
@@ -169,8 +167,8 @@
     assert not should_retry(work, Outcome.BROKEN, 105.0)
 
 
-@then("a program past its target is waited for as long as one in time")
-def step_patience(context):
+@then("a program past its target has no shorter timeout than one in time")
+def step_late_timeout(context):
     async def run():
         fleet = Fleet({"a": 0.2})
         fleet.classes = {"default": class_with_target(30.0)}
--- a/tests/support/virtual.py
+++ b/tests/support/virtual.py
@@ -1,7 +1,7 @@
-"""The scheduler alone, in virtual time: seconds pass at once, in order.
+"""Runs the scheduler alone in virtual time, in which waiting takes no time.
 
-Endpoints are the least that can be: each call there takes a set time, or
-fails. What is in doubt is the decisions, not the engines.
+Endpoints are minimal: each call takes a fixed time or fails. The tests check
+the scheduler's decisions, not the engines.
 """
 
 import asyncio
@@ -26,21 +26,21 @@
 
 
 class _VirtualClockSelector(selectors.SelectSelector):
-    """Moves the clock on instead of waiting."""
+    """Selector that advances a virtual clock instead of waiting."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now = 1000.0
 
     def select(self, timeout: float | None = None) -> list:
-        """Returns what is ready, after ``timeout`` of virtual time."""
+        """Returns the ready events after ``timeout`` of virtual time."""
         if timeout:
             self.now += timeout
         return super().select(0)
 
 
 def run_virtually(work: Coroutine) -> Any:
-    """Runs a coroutine on a loop in virtual time."""
+    """Runs a coroutine on an event loop with virtual time."""
     selector = _VirtualClockSelector()
     loop = asyncio.SelectorEventLoop(selector)
     loop.time = lambda: selector.now
@@ -53,28 +53,28 @@
 
 
 async def _cancel_all(tasks: set[asyncio.Task]) -> None:
-    """Cancels what a coroutine has left running."""
+    """Cancels the tasks that a coroutine has left running."""
     for task in tasks:
         task.cancel()
     await asyncio.gather(*tasks, return_exceptions=True)
 
 
 def advance_clock(seconds: float) -> None:
-    """Lets virtual time pass while nothing runs, as in a stopped process."""
+    """Advances virtual time while nothing runs, as in a stopped process."""
     asyncio.get_running_loop().clock.now += seconds
 
 
 class Fleet:
-    """Endpoints, the scheduler before them, and what each ran.
+    """Endpoints, the scheduler in front of them, and the calls each ran.
 
     Args:
-        seconds: Time a call takes at each endpoint.
-        make: Makes the scheduler from a table and a configuration.
+        seconds: Duration of a call at each endpoint.
+        make_scheduler: Creates the scheduler from a table and a configuration.
 
     Attributes:
         failing: Names of endpoints that break each call.
         down: Names of endpoints that cannot be reached.
-        ran: Calls that each endpoint was given.
+        run_counts: Number of calls that each endpoint ran.
         classes: Classes in force; may be replaced at any time.
     """
 
@@ -100,16 +100,16 @@
         )
 
     def set_limit(self, limit: int) -> None:
-        """Sets how many calls each endpoint may have at first."""
+        """Sets the initial concurrency limit of each endpoint."""
         for state in self.table.states.values():
             self.scheduler.state.candidates.stats_of(state).limit = limit
 
     async def hold(self, work: Work) -> Placement | Refusal:
-        """Returns a place for a call and keeps it."""
+        """Returns a placement for a call without running it."""
         return await self.scheduler.place(work)
 
     async def call(self, work: Work) -> Placement | Refusal:
-        """Runs a call, with retries; returns its last place or a refusal."""
+        """Runs a call with retries; returns its last placement or a refusal."""
         while True:
             placement = await self.scheduler.place(work)
             if isinstance(placement, Refusal):
@@ -122,7 +122,7 @@
                 return placement
 
     async def finish(self, placement: Placement) -> None:
-        """Runs a call that has a place to its end."""
+        """Runs a placed call to its end."""
         name = placement.state.endpoint.name
         if name in self.down:
             with placement:
@@ -144,7 +144,7 @@
 
 
 def chat_work(program: str, **fields: Any) -> Work:
-    """Returns a call of a program's second turn, unless told otherwise."""
+    """Returns a call of a program's second turn, with ``fields`` replaced."""
     given = {"turn": 2, "klass": "default", "max_output_tokens": 20} | fields
     return Work(program=program, model=MODEL, **given)
 
