--- a/libs/entry/src/rattanmill_entry/engines.py
+++ b/libs/entry/src/rattanmill_entry/engines.py
@@ -143,7 +143,7 @@
         routine_states = []
         domain = self.node.settings.domain
         for state in self.node.table.states.values():
-            if state.running and self._is_stalled(state):
+            if state.active_timeouts and self._is_stalled(state):
                 urgent_states.append(state)
             elif (
                 (state.endpoint.domain == domain or state.closed)
@@ -199,7 +199,7 @@
     def _is_stalled(self, state: EndpointState) -> bool:
         """Whether this instance's calls there have made no progress lately."""
         idle = loop_seconds() - state.progress_at
-        return bool(state.running) and idle > _STALL_SECONDS
+        return bool(state.active_timeouts) and idle > _STALL_SECONDS
 
     async def _run_probe(
         self, state: EndpointState, history: _ProbeHistory
@@ -274,7 +274,7 @@
             history.silent + 1 if result is ProbeResult.SILENT else 0
         )
         if load:
-            state.report(load)
+            state.update_load(load)
         if result is ProbeResult.REFUSED:
             if not state.reach.closed:
                 table.close(state, Aspect.REACH, Sign.REFUSED)
@@ -290,13 +290,13 @@
         if answered and not self._is_stalled(state):
             state.avoid_until = 0.0
         now = loop_seconds()
-        if state.reach.probed(answered and progresses, now):
+        if state.reach.record_probe(answered and progresses, now):
             table.reopen(state, Aspect.REACH)
             _log.info("Endpoint {} is reachable again.", state.endpoint.name)
         has_returned = (
             result is ProbeResult.GOOD and state.endpoint.state == "live"
         )
-        if state.departure.probed(has_returned and state.listed, now):
+        if state.departure.record_probe(has_returned and state.listed, now):
             table.reopen(state, Aspect.DEPARTURE)
             _log.info("Endpoint {} is in service again.", state.endpoint.name)
 
@@ -371,14 +371,14 @@
         parts: The parts of the answer.
         state: The endpoint that answers.
     """
-    if not state.running:
+    if not state.active_timeouts:
         state.progress_at = loop_seconds()
     async with contextlib.aclosing(parts):
         while True:
             timer = asyncio.timeout(None)
             try:
                 async with timer:
-                    state.running.add(timer)
+                    state.active_timeouts.add(timer)
                     part = await anext(parts)
             except StopAsyncIteration:
                 return
@@ -386,7 +386,7 @@
                 yield Failed(Outcome.TIMED_OUT, 0, "the endpoint hangs")
                 return
             finally:
-                state.running.discard(timer)
+                state.active_timeouts.discard(timer)
             state.progress_at = loop_seconds()
             yield part
 
--- a/libs/entry/src/rattanmill_entry/memory.py
+++ b/libs/entry/src/rattanmill_entry/memory.py
@@ -26,7 +26,7 @@
 from rattanmill_entry.expiry import end_expired
 from rattanmill_entry.node import Node
 from rattanmill_entry.route import owner_of
-from rattanmill_policy import EndpointState, Pin, Pinned, has_room
+from rattanmill_policy import EndpointState, Pin, ProgramPins, has_room
 from rattanmill_programs import Program, Shard
 from rattanmill_wire import PinsHeld
 
@@ -66,7 +66,7 @@
     def __init__(self, node: Node, monitor: EndpointMonitor) -> None:
         self.node = node
         self.monitor = monitor
-        self.pinned_programs: dict[str, Pinned] = {}
+        self.pinned_programs: dict[str, ProgramPins] = {}
         self.sweep_index = 0
         self.next_sweep_at = 0.0
         self.task: asyncio.Task | None = None
@@ -82,7 +82,7 @@
     def turn_started(self, program_id: str) -> None:
         """Records how long the program paused for its tools."""
         if pinned := self.pinned_programs.get(program_id):
-            pinned.returned(loop_seconds())
+            pinned.end_pause(loop_seconds())
 
     def turn_finished(self, run: ChatRun, state: EndpointState) -> None:
         """Pins the program's cache where its turn ran, if that is worth it."""
@@ -91,19 +91,19 @@
         if found is None:
             return
         shard, _ = found
-        pinned = self.pinned_programs.setdefault(program_id, Pinned())
+        pinned = self.pinned_programs.setdefault(program_id, ProgramPins())
         pinned.paused_at = loop_seconds()
         name = state.endpoint.name
         for other in [n for n in pinned.pins if n != name]:
             self._release(shard, program_id, other, "moved")
         tokens = sum(tokens for _, tokens in run.work.prefixes)
         if pinned.covers(name, tokens):
-            pinned.pins[name].until = pinned.deadline(loop_seconds())
-        elif pinned.is_worth_keeping(tokens) and has_room(
+            pinned.pins[name].expires_at = pinned.pin_deadline(loop_seconds())
+        elif pinned.should_pin(tokens) and has_room(
             state, tokens, self._tokens_at(name)
         ):
             # Recorded first: if the response is lost, the pin may exist.
-            pinned.pins[name] = Pin(tokens, pinned.deadline(loop_seconds()))
+            pinned.pins[name] = Pin(tokens, pinned.pin_deadline(loop_seconds()))
             self.node.spawn(self._pin(run, state))
 
     def handle_pins_held(self, message: PinsHeld) -> None:
@@ -127,10 +127,10 @@
         if program is None or program.ended is not None:
             self._release(shard, program_id, engine, "swept")
             return
-        pinned = self.pinned_programs.setdefault(program_id, Pinned())
+        pinned = self.pinned_programs.setdefault(program_id, ProgramPins())
         if not pinned.pins:
             # Pinned by an earlier owner.
-            pinned.pins[engine] = Pin(0, pinned.deadline(loop_seconds()))
+            pinned.pins[engine] = Pin(0, pinned.pin_deadline(loop_seconds()))
             self._count("adopted")
         elif engine not in pinned.pins:
             self._release(shard, program_id, engine, "swept")
@@ -164,7 +164,7 @@
             for engine, pin in list(pinned.pins.items()):
                 if ended:
                     self._release(shard, program_id, engine, "ended")
-                elif now > pin.until and not program.waiting:
+                elif now > pin.expires_at and not program.waiting:
                     self._release(shard, program_id, engine, "overdue")
             if ended:
                 self.pinned_programs.pop(program_id, None)
--- a/libs/forward/src/rattanmill_forward/crashes.py
+++ b/libs/forward/src/rattanmill_forward/crashes.py
@@ -65,7 +65,7 @@
 
     def refusal(self, fingerprint: bytes, ran: Ran) -> Refusal | None:
         """Returns the refusal for a request in quarantine, or None."""
-        if not self.quarantine.is_condemned(fingerprint):
+        if not self.quarantine.is_quarantined(fingerprint):
             return None
         return refuse(
             Reason.QUARANTINED,
@@ -95,7 +95,7 @@
 
     def record_notes(self, notes: list[CrashNote]) -> None:
         """Records crash notes from other front ends."""
-        new_count = sum(map(self.quarantine.take, notes))
+        new_count = sum(map(self.quarantine.record, notes))
         if new_count:
             log_event("crashes_heard", count=new_count)
             self.metrics.count(
@@ -129,7 +129,7 @@
         return await self.pool.refuses_connections(endpoint)
 
     def _publish(self, note: CrashNote) -> None:
-        if self.quarantine.take(note):
+        if self.quarantine.record(note):
             event = "suspected" if note.endpoint else "cleared"
             self.metrics.count("rattanmill_quarantine", event=event)
             self.keepers.reach.publish_crashes([note])
--- a/libs/policy/src/rattanmill_policy/health.py
+++ b/libs/policy/src/rattanmill_policy/health.py
@@ -1,11 +1,11 @@
-"""Whether an endpoint may get new work: marks, holds and gradual return.
-
-Two marks answer two questions, see ``Aspect``. A mark carries a generation, a
-hybrid logical clock: higher than all that were seen and at least the time in
-milliseconds. It grows with each change, and of two notes the one with the
-higher generation holds. So an instance that was paused, or has just been
-started, can neither bring back an endpoint that left meanwhile nor have its
-own fresh sign taken for a stale one.
+"""Endpoint health: closing, reopening with backoff, and gradual ramp-up.
+
+The state of each aspect, see ``Aspect``, carries a generation. The generation
+is a hybrid logical clock: it increases with each change, is higher than all
+that were seen and is at least the time in milliseconds. Of two notes the one
+with the higher generation wins. An instance that was paused therefore cannot
+reopen an endpoint that left in the meantime, and a change made by an instance
+that has just started is not mistaken for a stale one.
 """
 
 import time
@@ -14,26 +14,26 @@
 
 from rattanmill_core import Aspect, EndpointNote, Sign
 
-_FIRST_HOLD_SECONDS = {Aspect.DEPARTURE: 5.0, Aspect.REACH: 1.0}
-_MOST_HOLD_SECONDS = 120.0
+_INITIAL_HOLD_SECONDS = {Aspect.DEPARTURE: 5.0, Aspect.REACH: 1.0}
+_MAX_HOLD_SECONDS = 120.0
 _RELAPSE_SECONDS = 30.0
 _RAMP_STEP_SECONDS = 1.0
 _RAMP_STEPS = 6
 
 
 class Load(msgspec.Struct):
-    """What an engine reports of itself; lags.
+    """Load that an engine reports; it lags behind the actual load.
 
     Attributes:
         waiting: Calls in its queue.
         running: Calls in its batch.
-        slots: Most calls in a batch.
-        queued_tokens: Tokens still to be computed for all of these.
+        slots: Maximum number of calls in a batch.
+        queued_tokens: Tokens still to be computed for all of these calls.
         cache_tokens: Tokens in its prefix cache.
-        pinned_tokens: Of these, tokens held by pins.
-        models: Models loaded.
-        role: Its role.
-        draining: Whether it is leaving.
+        pinned_tokens: Tokens of the prefix cache that are held by pins.
+        models: Loaded models.
+        role: Role of the engine.
+        draining: Whether the engine is leaving.
     """
 
     waiting: int = 0
@@ -47,17 +47,18 @@
     draining: bool = False
 
 
-class Mark:
-    """One aspect of one endpoint.
+class AspectState:
+    """State of one aspect of one endpoint.
 
     Attributes:
-        aspect: Which.
-        generation: Of the last change.
-        closed: Whether it keeps new work away.
-        sign: What made the last change.
-        changed_at: Loop time of the last change, as seen here.
-        hold_seconds: How long probes must be good before it opens again.
-        good_since: Loop time of the first of the latest good probes.
+        aspect: The aspect.
+        generation: Generation of the last change.
+        closed: Whether the endpoint gets no new work.
+        sign: Reason for the last change.
+        changed_at: Loop time of the last change seen by this instance.
+        hold_seconds: Time for which probes must succeed before it reopens.
+        healthy_since: Loop time of the first of the current run of successful
+            probes, or None.
     """
 
     def __init__(self, aspect: Aspect) -> None:
@@ -66,22 +67,22 @@
         self.closed = False
         self.sign = Sign.RETURNED
         self.changed_at = float("-inf")
-        self.hold_seconds = _FIRST_HOLD_SECONDS[aspect]
-        self.good_since: float | None = None
+        self.hold_seconds = _INITIAL_HOLD_SECONDS[aspect]
+        self.healthy_since: float | None = None
 
     def close(self, sign: Sign, now: float) -> bool:
-        """Keeps new work away; False if it did so already."""
+        """Stops new work; returns False if it was already closed."""
         return not self.closed and self._change(True, sign, now)
 
     def reopen(self, now: float) -> bool:
-        """Lets work in again; False if it was open."""
+        """Allows new work again; returns False if it was already open."""
         return self.closed and self._change(False, Sign.RETURNED, now)
 
-    def take(self, note: EndpointNote, now: float) -> bool:
-        """Takes what another instance saw; True if that changes the state.
+    def merge(self, note: EndpointNote, now: float) -> bool:
+        """Merges a note of another instance; returns whether the state changed.
 
-        At the same generation closed wins: two instances that changed it at
-        the same time come to the same result in either order.
+        At the same generation closed wins, so that two instances that changed
+        it at the same time reach the same state in either order.
         """
         if note.generation < self.generation:
             return False
@@ -93,23 +94,24 @@
         self.generation = note.generation
         self.sign = note.sign
         if changed:
-            self._turn(note.closed, now)
+            self._set_closed(note.closed, now)
         return changed
 
-    def probed(self, good: bool, now: float) -> bool:
-        """Learns of a probe; True if it has been good for long enough."""
-        if not good:
-            self.good_since = None
+    def record_probe(self, healthy: bool, now: float) -> bool:
+        """Records a probe; returns whether probes succeeded for long enough."""
+        if not healthy:
+            self.healthy_since = None
             return False
-        if self.good_since is None:
-            self.good_since = now
-        return self.closed and now - self.good_since >= self.hold_seconds
+        if self.healthy_since is None:
+            self.healthy_since = now
+        return self.closed and now - self.healthy_since >= self.hold_seconds
 
-    def limit(self, now: float) -> int | None:
-        """Most calls at a time after a return; None if there is no limit.
+    def ramp_limit(self, now: float) -> int | None:
+        """Returns the maximum concurrency after reopening; None if unlimited.
 
-        An endpoint that comes back is cold and may fail again: all work that
-        waits for it at once would be lost or would break it again.
+        An endpoint that reopens is cold and may fail again. If it got all
+        waiting work at once, that work would be lost or would overload it
+        again.
         """
         steps = (now - self.changed_at) / _RAMP_STEP_SECONDS
         return 2 ** int(steps) if steps < _RAMP_STEPS else None
@@ -117,21 +119,21 @@
     def _change(self, closed: bool, sign: Sign, now: float) -> bool:
         self.generation = max(self.generation + 1, int(time.time() * 1000))
         self.sign = sign
-        self._turn(closed, now)
+        self._set_closed(closed, now)
         return True
 
-    def _turn(self, closed: bool, now: float) -> None:
+    def _set_closed(self, closed: bool, now: float) -> None:
         if closed:
-            first = _FIRST_HOLD_SECONDS[self.aspect]
+            first = _INITIAL_HOLD_SECONDS[self.aspect]
             relapsed = now - self.changed_at < _RELAPSE_SECONDS
-            longer = min(self.hold_seconds * 2, _MOST_HOLD_SECONDS)
+            longer = min(self.hold_seconds * 2, _MAX_HOLD_SECONDS)
             self.hold_seconds = longer if relapsed else first
         self.closed = closed
         self.changed_at = now
-        self.good_since = None
+        self.healthy_since = None
 
-    def note(self, endpoint: str) -> EndpointNote:
-        """Returns what other instances should know."""
+    def to_note(self, endpoint: str) -> EndpointNote:
+        """Returns the note that is sent to other instances."""
         return EndpointNote(
             endpoint, self.aspect, self.generation, self.closed, self.sign
         )
--- a/libs/policy/src/rattanmill_policy/quarantine.py
+++ b/libs/policy/src/rattanmill_policy/quarantine.py
@@ -1,10 +1,11 @@
-"""Requests that crash the endpoints which run them.
-
-A request is suspected when an endpoint crashed with it in flight, and so are
-all that were in flight beside it. It is condemned when an endpoint crashed a
-second time with it in flight and no other request that was suspected already
-was there: of several suspects only one may be to blame. A finished run clears
-a suspect. Each instance holds all of this, so it outlives any of them.
+"""Quarantine of requests that crash the endpoints that run them.
+
+A request becomes a suspect when an endpoint crashes while it is in flight, and
+so do all requests in flight beside it. A suspect is quarantined when an
+endpoint crashes a second time with it in flight and no other request that was
+already suspected was in flight there: if there were several suspects, only one
+of them may be the cause. A completed run clears a suspect. Every instance
+replicates these records, so they survive the loss of any instance.
 """
 
 import time
@@ -13,166 +14,175 @@
 
 from rattanmill_core import CrashNote
 
-# Reports of one crash by several instances are that close together.
+# Maximum time between reports of the same crash by different instances.
 _SAME_CRASH_MS = 2_000
-_CONDEMNED_MS = 3_600_000
-_SUSPECTED_MS = 24 * 3_600_000
-_MOST_SUSPECTS = 10_000
-_LEAST_CRASHES = 2
-# So many crashes condemn a request, whatever was in flight beside it.
-_MOST_CRASHES = 4
+_QUARANTINE_MS = 3_600_000
+_SUSPECT_RETENTION_MS = 24 * 3_600_000
+_MAX_SUSPECTS = 10_000
+_MIN_CRASHES = 2
+# This many crashes quarantine a request regardless of what else was in flight.
+_CONCLUSIVE_CRASHES = 4
 
 
-class Suspicion(msgspec.Struct):
-    """What is held against one request.
+class Suspect(msgspec.Struct):
+    """Crash history of one request.
 
     Attributes:
-        crashes: In order of time.
-        cleared_at: Time of a finished run, in milliseconds, or 0.
-        condemned: Whether these crashes were found to condemn it.
+        crashes: Crashes, ordered by time.
+        cleared_at: Time of a completed run, in milliseconds, or 0.
+        quarantined: Whether these crashes were found sufficient to quarantine
+            it.
     """
 
     crashes: list[CrashNote] = msgspec.field(default_factory=list)
     cleared_at: int = 0
-    condemned: bool = False
+    quarantined: bool = False
 
     @property
-    def last(self) -> int:
-        """Time of the last event."""
+    def last_event_at(self) -> int:
+        """Time of the last event, in milliseconds."""
         return max([self.cleared_at, *(c.at for c in self.crashes)])
 
 
 class Quarantine:
-    """Suspected requests by fingerprint, as many as are kept.
+    """Bounded set of suspected requests, by fingerprint.
 
     Args:
-        least_crashes: Crashes without which no request is condemned.
-        condemned_ms: How long after its last crash it stays condemned.
+        min_crashes: Minimum number of crashes before a request is quarantined.
+        quarantine_ms: Milliseconds after its last crash for which a request
+            stays quarantined.
     """
 
     def __init__(
         self,
-        least_crashes: int = _LEAST_CRASHES,
-        condemned_ms: int = _CONDEMNED_MS,
+        min_crashes: int = _MIN_CRASHES,
+        quarantine_ms: int = _QUARANTINE_MS,
     ) -> None:
-        self.least_crashes = least_crashes
-        self.condemned_ms = condemned_ms
-        self.suspicions: dict[bytes, Suspicion] = {}
-
-    def take(self, note: CrashNote) -> bool:
-        """Takes a crash or a finished run; True if it was news."""
-        known = self.suspicions.get(note.fingerprint)
-        if known is None:
-            self._make_room()
-            known = Suspicion()
-            self.suspicions[note.fingerprint] = known
+        self.min_crashes = min_crashes
+        self.quarantine_ms = quarantine_ms
+        self.suspects: dict[bytes, Suspect] = {}
+
+    def record(self, note: CrashNote) -> bool:
+        """Records a crash or a completed run; returns whether it was new."""
+        suspect = self.suspects.get(note.fingerprint)
+        if suspect is None:
+            self._evict_oldest()
+            suspect = Suspect()
+            self.suspects[note.fingerprint] = suspect
         if not note.endpoint:
-            return _clear(known, note.at)
-        if note.at <= known.cleared_at:
+            return _clear(suspect, note.at)
+        if note.at <= suspect.cleared_at:
             return False
-        if any(is_same_crash(note, crash) for crash in known.crashes):
+        if any(is_same_crash(note, crash) for crash in suspect.crashes):
             return False
-        known.crashes.append(note)
-        known.crashes.sort(key=lambda crash: crash.at)
+        suspect.crashes.append(note)
+        suspect.crashes.sort(key=lambda crash: crash.at)
         return True
 
     def is_suspected(self, fingerprint: bytes) -> bool:
-        """Whether an endpoint crashed with this request in flight."""
-        known = self._fresh(fingerprint)
-        return known is not None and bool(known.crashes)
+        """Returns whether an endpoint crashed with this request in flight."""
+        suspect = self._unexpired(fingerprint)
+        return suspect is not None and bool(suspect.crashes)
 
-    def is_condemned(self, fingerprint: bytes) -> bool:
-        """Whether the request must not run.
+    def is_quarantined(self, fingerprint: bytes) -> bool:
+        """Returns whether the request must not run.
 
-        That ends some time after the last crash. The request is still
-        suspected for a day, so that its next crash condemns it at once.
+        The quarantine ends some time after the last crash. The request stays a
+        suspect for a day, so that its next crash quarantines it again at once.
         """
-        known = self._fresh(fingerprint)
-        if known is None or len(known.crashes) < self.least_crashes:
+        suspect = self._unexpired(fingerprint)
+        if suspect is None or len(suspect.crashes) < self.min_crashes:
             return False
-        if _now_ms() - known.crashes[-1].at > self.condemned_ms:
+        if _now_ms() - suspect.crashes[-1].at > self.quarantine_ms:
             return False
-        # Kept, since a storm of repeats must not search all suspects each.
-        known.condemned = (
-            known.condemned
-            or len(known.crashes) >= _MOST_CRASHES
-            or any(self._suspects_at(c) == 1 for c in known.crashes[1:])
+        # Cached, so that a burst of repeats does not search all suspects for
+        # each request.
+        suspect.quarantined = (
+            suspect.quarantined
+            or len(suspect.crashes) >= _CONCLUSIVE_CRASHES
+            or any(self._suspects_at(c) == 1 for c in suspect.crashes[1:])
         )
-        return known.condemned
+        return suspect.quarantined
 
-    def place_of(self, fingerprint: bytes) -> int:
-        """Returns how many suspects of the same crash run again before it.
+    def retry_position(self, fingerprint: bytes) -> int:
+        """Returns how many suspects of the same crash are retried before it.
 
-        All instances come to the same order without asking each other.
+        All instances compute the same order without exchanging messages.
         """
-        known = self._fresh(fingerprint)
-        if known is None or not known.crashes:
+        suspect = self._unexpired(fingerprint)
+        if suspect is None or not suspect.crashes:
             return 0
-        last = known.crashes[-1]
+        last = suspect.crashes[-1]
         requests = {
             crash.request
-            for other in self.suspicions.values()
+            for other in self.suspects.values()
             for crash in other.crashes
             if is_same_crash(last, crash)
         }
         return sorted(requests).index(last.request)
 
-    def notes(self, most: int) -> list[CrashNote]:
-        """Returns what is held, the newest ``most`` events."""
+    def notes(self, limit: int) -> list[CrashNote]:
+        """Returns the newest recorded events, at most ``limit``."""
         events = [
             event
-            for fingerprint, known in self.suspicions.items()
-            for event in _events(fingerprint, known)
+            for fingerprint, suspect in self.suspects.items()
+            for event in _events(fingerprint, suspect)
         ]
-        return sorted(events, key=lambda event: event.at)[-most:]
+        return sorted(events, key=lambda event: event.at)[-limit:]
 
     def _suspects_at(self, crash: CrashNote) -> int:
-        """How many requests suspected before were in flight at a crash."""
+        """Returns how many earlier suspects were in flight at a crash."""
         return len(
             {
                 other.request
-                for known in self.suspicions.values()
-                for other in known.crashes[1:]
+                for suspect in self.suspects.values()
+                for other in suspect.crashes[1:]
                 if is_same_crash(crash, other)
             }
         )
 
-    def _fresh(self, fingerprint: bytes) -> Suspicion | None:
-        known = self.suspicions.get(fingerprint)
-        if known and _now_ms() - known.last > _SUSPECTED_MS:
-            del self.suspicions[fingerprint]
+    def _unexpired(self, fingerprint: bytes) -> Suspect | None:
+        suspect = self.suspects.get(fingerprint)
+        if (
+            suspect
+            and _now_ms() - suspect.last_event_at > _SUSPECT_RETENTION_MS
+        ):
+            del self.suspects[fingerprint]
             return None
-        return known
+        return suspect
 
-    def _make_room(self) -> None:
-        if len(self.suspicions) >= _MOST_SUSPECTS:
-            # Many at a time: to search for the oldest takes long.
+    def _evict_oldest(self) -> None:
+        if len(self.suspects) >= _MAX_SUSPECTS:
+            # Evicts many at once, since finding the oldest is slow.
             by_age = sorted(
-                self.suspicions, key=lambda key: self.suspicions[key].last
+                self.suspects, key=lambda key: self.suspects[key].last_event_at
             )
-            for fingerprint in by_age[: _MOST_SUSPECTS // 10]:
-                del self.suspicions[fingerprint]
+            for fingerprint in by_age[: _MAX_SUSPECTS // 10]:
+                del self.suspects[fingerprint]
 
 
 def is_same_crash(one: CrashNote, other: CrashNote) -> bool:
-    """Whether two notes tell of the same crash of an endpoint."""
+    """Returns whether two notes report the same crash of an endpoint."""
     near = abs(one.at - other.at) < _SAME_CRASH_MS
     return near and one.endpoint == other.endpoint
 
 
-def _clear(known: Suspicion, at: int) -> bool:
-    if at <= known.cleared_at:
+def _clear(suspect: Suspect, at: int) -> bool:
+    if at <= suspect.cleared_at:
         return False
-    known.cleared_at = at
-    known.crashes = [crash for crash in known.crashes if crash.at > at]
-    known.condemned = False
+    suspect.cleared_at = at
+    suspect.crashes = [crash for crash in suspect.crashes if crash.at > at]
+    suspect.quarantined = False
     return True
 
 
-def _events(fingerprint: bytes, known: Suspicion) -> list[CrashNote]:
-    if known.cleared_at:
-        return [CrashNote(fingerprint, "", known.cleared_at), *known.crashes]
-    return known.crashes
+def _events(fingerprint: bytes, suspect: Suspect) -> list[CrashNote]:
+    if suspect.cleared_at:
+        return [
+            CrashNote(fingerprint, "", suspect.cleared_at),
+            *suspect.crashes,
+        ]
+    return suspect.crashes
 
 
 def _now_ms() -> int:
