--- a/libs/entry/src/rattanmill_entry/owners.py
+++ b/libs/entry/src/rattanmill_entry/owners.py
@@ -91,7 +91,7 @@
     for number, owner in targets.items():
         name = owner.owner or "nobody"
         _log.info(
-            "Shard {}.{} assigned to {} at epoch {}.",
+            "Shard {}.{} given to {} at epoch {}.",
             domain,
             number,
             name,
