--- a/libs/keeper/src/rattanmill_keeper/emptying.py
+++ b/libs/keeper/src/rattanmill_keeper/emptying.py
@@ -1,8 +1,8 @@
-"""Empties this storage instance when operators ask for it.
+"""Decommissions this storage instance when operators request it.
 
-It takes nothing new, sees to it that every turn of its own lies in the other
-failure domains, hands its accounts over, and only then says that it is done:
-from that moment its disk may be gone.
+The instance rejects new data, makes sure that the other failure domains hold
+every turn that it holds, transfers its accounts, and only then reports that it
+is done: from that moment on its disk may be gone.
 """
 
 import asyncio
@@ -23,23 +23,23 @@
 )
 from rattanmill_platform import Found, KeyValue, PrefixWatch, Unavailable
 
-_WAIT_SECONDS = 20.0
-_ASK_SECONDS = 2.0
+_WATCH_SECONDS = 20.0
+_REQUEST_TIMEOUT_SECONDS = 2.0
 _PAUSE_SECONDS = 0.25
-# Fronts learn within a watch's answer that nothing new goes here; what was on
-# its way by then has come in.
+# Front ends learn within the time of one watch that this instance accepts no
+# new data; requests that were in flight by then have arrived.
 _SETTLE_SECONDS = 0.6
-_ACCOUNTS = 200
+_ACCOUNTS_PER_PAGE = 200
 
 
 class DecommissionKeys(msgspec.Struct, frozen=True):
-    """Where operators ask for it and how they are answered.
+    """The store's keys and values for requests of operators and replies.
 
     Attributes:
-        prefix: Prefix of the orders; the name of an instance follows.
-        status_prefix: Prefix of the answers.
-        running: What is written while it is under way.
-        completed: What is written when it is over.
+        prefix: Prefix of the requests; the name of an instance follows.
+        status_prefix: Prefix of the states; the name of an instance follows.
+        running: State while the decommissioning is in progress.
+        completed: State when it is done.
     """
 
     prefix: str
@@ -49,14 +49,14 @@
 
 
 class Decommission:
-    """Waits for the order and carries it out.
+    """Waits for a request to decommission this instance and carries it out.
 
     Args:
         keeper: This instance.
         members: The storage instances.
         registration: This instance's registration.
-        kv: The platform's store.
-        orders: Where the order stands.
+        kv: The platform store.
+        keys: The keys of requests and states.
     """
 
     def __init__(
@@ -65,19 +65,19 @@
         members: Members,
         registration: Registration,
         kv: KeyValue,
-        orders: DecommissionKeys,
+        keys: DecommissionKeys,
     ) -> None:
         self.keeper = keeper
         self.members = members
         self.registration = registration
         self.kv = kv
-        self.orders = orders
+        self.keys = keys
         self.requested = asyncio.Event()
         self.watch = PrefixWatch(
             kv,
-            orders.prefix + keeper.name,
-            _WAIT_SECONDS,
-            self.notice,
+            keys.prefix + keeper.name,
+            _WATCH_SECONDS,
+            self.on_request,
             lambda key: None,
         )
         self.task: asyncio.Task | None = None
@@ -92,24 +92,24 @@
         if self.task:
             self.task.cancel()
 
-    def notice(self, key: str, value: bytes) -> None:
-        """Takes an order; one for another may begin with this one's name."""
-        if key == self.orders.prefix + self.keeper.name:
+    def on_request(self, key: str, value: bytes) -> None:
+        """Accepts a request, unless it is for a name that begins with ours."""
+        if key == self.keys.prefix + self.keeper.name:
             self.requested.set()
 
     async def _run(self) -> None:
         await self.requested.wait()
         log_event("emptying_begun", turns=len(self.keeper.table.held))
-        await self._say(self.orders.running)
+        await self._write_state(self.keys.running)
         self.keeper.is_decommissioning = True
         await self._register(leaving=True)
         await asyncio.sleep(_SETTLE_SECONDS)
-        await self._until(self._are_enough)
+        await self._until(self._can_others_hold_all)
         await self.transfer_all()
-        await self._until(self._is_followed)
+        await self._until(self._have_others_followed)
         await self._register(emptied=True)
-        await self._say(self.orders.completed)
-        # Counted until its lease ends, it would keep others from being whole.
+        await self._write_state(self.keys.completed)
+        # If it still counted until its lease ends, others could not recover.
         await self.registration.end()
         log_event("emptying_done")
         await asyncio.Event().wait()
@@ -124,21 +124,21 @@
         mine = self.members.known.get(self.keeper.name)
         return mine == self.registration.member
 
-    async def _are_enough(self) -> bool:
-        """Whether the others can hold all that they should without this one.
+    async def _can_others_hold_all(self) -> bool:
+        """Whether the others can hold all required replicas without this one.
 
-        One that is out of reach may be the only other one with something, and
-        one disk more may be lost as soon as this one is gone.
+        An unreachable member may be the only other one with some data, and one
+        more disk may be lost as soon as this instance is gone.
         """
         if not self.members.unlisted():
             return True
         domains = self.members.writable_domains()
         return len(domains) > self.members.tolerated_disk_losses
 
-    async def _is_followed(self) -> bool:
-        """Whether the others have all that was agreed to here.
+    async def _have_others_followed(self) -> bool:
+        """Whether the others have fetched everything that was agreed to here.
 
-        They do not count this instance any more once it is gone.
+        They don't count this instance any more once it is gone.
         """
         position = self.keeper.intake.position
         return all(
@@ -148,14 +148,15 @@
         )
 
     async def _until(self, step: Callable[[], Awaitable[bool]]) -> None:
+        """Repeats a step until it returns True."""
         while True:
             if await step():
                 return
             await asyncio.sleep(_PAUSE_SECONDS)
 
-    async def _say(self, value: bytes) -> None:
-        """Writes the state; whoever empties a machine waits for it."""
-        key = self.orders.status_prefix + self.keeper.name
+    async def _write_state(self, value: bytes) -> None:
+        """Writes the state, for which the operator's tool waits."""
+        key = self.keys.status_prefix + self.keeper.name
         while True:
             found = await self.kv.read(key)
             if not isinstance(found, Unavailable):
@@ -166,10 +167,10 @@
             await asyncio.sleep(_PAUSE_SECONDS)
 
     async def transfer_all(self) -> None:
-        """Returns when the others have all, and nothing more is taken here.
+        """Returns when the others hold all data and writes are rejected here.
 
-        Fronts whose list lags go on sending turns and reservations. Taken,
-        they would be gone with this disk.
+        Front ends with a stale list of members go on sending turns and
+        reservations. If accepted, these would be lost with this disk.
         """
         await self._until(self.transfer_accounts)
         await self._until(self.replicate_turns)
@@ -178,7 +179,7 @@
         await self._until(self.replicate_turns)
 
     async def transfer_accounts(self) -> bool:
-        """Tells the other holders of accounts all; whether they know it."""
+        """Sends each account to its other holders; False if one failed."""
         by_holder: dict[str, list[Account]] = {}
         await self.keeper.close_shares()
         for account in self.keeper.ledger.accounts.values():
@@ -186,15 +187,15 @@
                 if holder in self.members.known and holder != self.keeper.name:
                     by_holder.setdefault(holder, []).append(account)
         for holder, accounts in by_holder.items():
-            for start in range(0, len(accounts), _ACCOUNTS):
-                page = accounts[start : start + _ACCOUNTS]
-                if not await self._tell(self.members.known[holder], page):
+            for start in range(0, len(accounts), _ACCOUNTS_PER_PAGE):
+                page = accounts[start : start + _ACCOUNTS_PER_PAGE]
+                if not await self._send(self.members.known[holder], page):
                     return False
         return True
 
-    async def _tell(self, holder: Member, accounts: list[Account]) -> bool:
+    async def _send(self, holder: Member, accounts: list[Account]) -> bool:
         link = self.members.link(holder)
-        reply = await link.ask(Merge(accounts), _ASK_SECONDS)
+        reply = await link.ask(Merge(accounts), _REQUEST_TIMEOUT_SECONDS)
         log_event(
             "accounts_told",
             keeper=holder.name,
@@ -204,7 +205,7 @@
         return isinstance(reply, Done)
 
     async def replicate_turns(self) -> bool:
-        """Sees to it that the others hold all turns; whether they do."""
+        """Sends turns to replicas that lack them; False if one failed."""
         turns = self.keeper.table.held
         wanted: dict[str, list[str]] = {}
         for turn, held in turns.items():
@@ -219,10 +220,12 @@
 
     async def _push(self, member: Member, turns: list[str]) -> bool:
         link = self.members.link(member)
-        reply = await link.ask(Lacking(turns), _ASK_SECONDS)
+        reply = await link.ask(Lacking(turns), _REQUEST_TIMEOUT_SECONDS)
         if not isinstance(reply, Lacking):
             return False
         for turn in self.keeper.table.pick(reply.turns):
-            if not isinstance(await link.ask(Keep(turn), _ASK_SECONDS), Done):
+            if not isinstance(
+                await link.ask(Keep(turn), _REQUEST_TIMEOUT_SECONDS), Done
+            ):
                 return False
         return True
--- a/libs/keeper/src/rattanmill_keeper/following.py
+++ b/libs/keeper/src/rattanmill_keeper/following.py
@@ -1,7 +1,7 @@
-"""Follows the other storage instances, and fetches what is missing here.
+"""Replicates data from the other storage instances to this one.
 
-One mechanism fills an empty or replaced disk, heals a cut, and spreads turns
-that only one failure domain could take.
+One mechanism fills an empty or replaced disk, catches up after a partition, and
+replicates turns that could be stored in one failure domain only.
 """
 
 import asyncio
@@ -25,13 +25,14 @@
 )
 
 _POLL_SECONDS = 0.5
-_ASK_SECONDS = 1.0
-_FETCH_TURNS = 40
+_REQUEST_TIMEOUT_SECONDS = 1.0
+_MAX_FETCHED_TURNS = 40
 # Chains of some minutes, 0.2 KB each.
-_MOST_KEYS = 5_000
-# With an empty disk and nobody to follow, others may only be slow to start;
-# after this the only storage instance has to go on with what it has.
-_ALONE_SECONDS = 60.0
+_MAX_CACHED_KEYS = 5_000
+# With an empty disk and no other instance to follow, the others may only be
+# slow to start; after this time the only storage instance has to go on with
+# the data that it has.
+_LONE_INSTANCE_SECONDS = 60.0
 
 
 class Progress(msgspec.Struct):
@@ -39,9 +40,10 @@
 
     Attributes:
         run: Its run.
-        position: Position up to which everything was taken.
-        ended: Whether its end was reached once in that run.
-        absent: Who it says may have something that was lost here.
+        position: Position up to which everything was fetched.
+        has_caught_up: Whether the end was reached at least once in that run.
+        absent: Absent members that, as it reports, may hold data that was lost
+            here.
     """
 
     run: str = ""
@@ -51,7 +53,13 @@
 
 
 class Follower:
-    """Keeps one task for each other storage instance.
+    """Follows each other storage instance in a task of its own.
+
+    Attributes:
+        progress: How far each member was followed, by name.
+        tasks: The tasks, by name of the member.
+        domain_peers: Members of this domain that share its turns, including
+            this instance.
 
     Args:
         keeper: This instance.
@@ -64,11 +72,11 @@
         self.progress: dict[str, Progress] = {}
         self.tasks: dict[str, asyncio.Task] = {}
         self.domain_peers: frozenset[str] = frozenset()
-        self.started = asyncio.get_running_loop().time()
+        self.started_at = asyncio.get_running_loop().time()
         self.task: asyncio.Task | None = None
 
     async def __aenter__(self) -> Self:
-        self.task = start_loop("following", self._tend())
+        self.task = start_loop("following", self._run())
         return self
 
     async def __aexit__(self, *exc_info: object) -> None:
@@ -76,7 +84,7 @@
             if task:
                 task.cancel()
 
-    async def _tend(self) -> None:
+    async def _run(self) -> None:
         while True:
             for name in list(self.members.known):
                 if name != self.keeper.name and name not in self.tasks:
@@ -89,48 +97,49 @@
             await asyncio.sleep(_POLL_SECONDS / 2)
 
     def update_domain_peers(self) -> None:
-        """Follows all anew when this instance has to hold other turns.
+        """Follows all members anew if this instance has to hold other turns.
 
-        Members of its domain share the turns. When one comes, goes or falls
-        silent, turns that were passed over before may have to be here now.
+        Members of one domain share its turns. When one of them joins, leaves
+        or becomes unresponsive, turns that were skipped before may have to be
+        stored here now.
         """
-        sharing = self._sharing()
-        if sharing == self.domain_peers:
+        domain_peers = self._domain_peers()
+        if domain_peers == self.domain_peers:
             return
-        self.domain_peers = sharing
+        self.domain_peers = domain_peers
         for progress in self.progress.values():
             progress.run = ""
             progress.has_caught_up = False
-        log_event("share_reviewed", keepers=sorted(sharing))
+        log_event("share_reviewed", keepers=sorted(domain_peers))
 
-    def _sharing(self) -> frozenset[str]:
+    def _domain_peers(self) -> frozenset[str]:
         """Returns the members of this domain that can hold turns now.
 
-        One that was replaced stays listed for some seconds. If it counted,
-        its successor would pass over the turns that it had held, and with the
-        next lost disk they would be gone.
+        A member that was replaced stays registered for some seconds. If it
+        counted, its successor would skip the turns that it had held, and these
+        would be gone with the next lost disk.
         """
         mine = self.members.known.get(self.keeper.name)
         found = {self.keeper.name}
         for member in self.members.known.values():
-            same = mine is not None and member.domain == mine.domain
-            there = not self.members.link(member).failures
-            if same and there and not member.leaving:
+            is_peer = mine is not None and member.domain == mine.domain
+            is_responsive = not self.members.link(member).failures
+            if is_peer and is_responsive and not member.leaving:
                 found.add(member.name)
         return frozenset(found)
 
     def is_complete(self) -> bool:
-        """Whether all that others know has come in."""
+        """Whether all data that the other members know of was fetched."""
         if not self.members.synced or self.members.watch.away_since:
             return False
         others = [n for n in self.members.known if n != self.keeper.name]
-        age = asyncio.get_running_loop().time() - self.started
+        age = asyncio.get_running_loop().time() - self.started_at
         if not others:
-            return age > _ALONE_SECONDS
-        told = [self.progress.get(name, Progress()) for name in others]
-        # One that is out of reach may be the only one with what was lost here.
-        absent = set().union(*(each.absent for each in told)) - set(others)
-        return all(each.has_caught_up for each in told) and not absent
+            return age > _LONE_INSTANCE_SECONDS
+        reported = [self.progress.get(name, Progress()) for name in others]
+        # An unreachable member may be the only one with data that was lost here.
+        absent = set().union(*(each.absent for each in reported)) - set(others)
+        return all(each.has_caught_up for each in reported) and not absent
 
     async def _follow(self, name: str) -> None:
         while True:
@@ -142,7 +151,11 @@
                 await asyncio.sleep(_POLL_SECONDS)
 
     async def fetch_page(self, member: Member) -> bool:
-        """Takes the next page; whether there is more at once."""
+        """Fetches the next page of changes from a member.
+
+        Returns:
+            Whether there are more changes to fetch right now.
+        """
         progress = self.progress.setdefault(member.name, Progress())
         link = self.members.link(member)
         began = loop_seconds()
@@ -153,7 +166,7 @@
                 progress.position,
                 self.keeper.run,
             ),
-            _ASK_SECONDS,
+            _REQUEST_TIMEOUT_SECONDS,
         )
         if not isinstance(news, News):
             return False
@@ -166,11 +179,11 @@
             for home in news.homes
             if (change := self.keeper.ledger.learn(home))
         ]
-        # At once, so that they share the journal's writes.
+        # Concurrently, so that they share the journal's writes.
         await asyncio.gather(*map(self.keeper.write_home, changes))
         if not await self._fetch_accounts(member, news.accounts):
             return False
-        if not await self._fetch(member, news.turns):
+        if not await self._fetch_turns(member, news.turns):
             return False
         progress.run = news.run
         progress.position = news.position
@@ -195,24 +208,28 @@
         if not programs:
             return True
         link = self.members.link(member)
-        reply = await link.ask(FetchAccounts(programs), 2 * _ASK_SECONDS)
+        reply = await link.ask(
+            FetchAccounts(programs), 2 * _REQUEST_TIMEOUT_SECONDS
+        )
         if not isinstance(reply, Accounts):
             return False
         await self.keeper.persist_accounts(reply.accounts)
         return True
 
-    async def _fetch(self, member: Member, turns: list[TurnRef]) -> bool:
+    async def _fetch_turns(self, member: Member, turns: list[TurnRef]) -> bool:
         """Fetches the turns that are missing here; False if that failed."""
         mine = [
             ref.turn
             for ref in turns
-            if _keeper_of(ref.key, self.domain_peers) == self.keeper.name
+            if _holder_of(ref.key, self.domain_peers) == self.keeper.name
         ]
         lacking = self.keeper.table.lacking(mine)
         link = self.members.link(member)
-        for start in range(0, len(lacking), _FETCH_TURNS):
-            page = lacking[start : start + _FETCH_TURNS]
-            reply = await link.ask(FetchTurns(page), 2 * _ASK_SECONDS)
+        for start in range(0, len(lacking), _MAX_FETCHED_TURNS):
+            page = lacking[start : start + _MAX_FETCHED_TURNS]
+            reply = await link.ask(
+                FetchTurns(page), 2 * _REQUEST_TIMEOUT_SECONDS
+            )
             if not isinstance(reply, Turns):
                 return False
             await asyncio.gather(*map(self.keeper.keep, reply.turns))
@@ -221,8 +238,9 @@
         return True
 
 
-# Each turn is told by all that hold it, and the turns of a chain share a key.
-@functools.lru_cache(_MOST_KEYS)
-def _keeper_of(key: str, sharing: frozenset[str]) -> str:
-    """Returns which of the members that share a domain's turns keeps a key."""
-    return rank(key, sharing)[0]
+# Cached since every holder of a turn reports it, and the turns of a chain share
+# a key.
+@functools.lru_cache(_MAX_CACHED_KEYS)
+def _holder_of(key: str, domain_peers: frozenset[str]) -> str:
+    """Returns which of the members that share a domain's turns holds a key."""
+    return rank(key, domain_peers)[0]
--- a/libs/keeper/src/rattanmill_keeper/joint.py
+++ b/libs/keeper/src/rattanmill_keeper/joint.py
@@ -1,7 +1,7 @@
-"""One wait at a storage instance for all prefixes of the store.
+"""One watch request to a storage instance for several prefixes of the store.
 
-A front follows a few prefixes. With a wait of its own for each, it asked twice
-as often as there is something to be known.
+A front end watches a few prefixes. With a request for each of them, it sent
+requests twice as often as there is something to report.
 """
 
 import asyncio
@@ -14,40 +14,40 @@
 from rattanmill_keeper.messages import StoreItems, StoreWatch
 from rattanmill_wire import RequestLink
 
-# A wait is short: the one that is asked may be behind and not know it, and the
-# next one then tells what it lacks. An endpoint must get nothing two seconds
-# after it has said that it leaves.
+# Short, since a member may be stale without knowing it, and the next one then
+# reports what it lacks. An endpoint must get no calls two seconds after it has
+# announced that it leaves.
 WATCH_SECONDS = 0.5
-_ANSWER_SECONDS = 0.7
-# Whoever was answered together asks again together.
+_REPLY_TIMEOUT_SECONDS = 0.7
+# Waiters whose requests were answered together send the next one together.
 _JOIN_SECONDS = 0.01
-# One that leaves a sign of life or another request unanswered is given up
-# within this, and not only when its time to answer is over.
-_LOOK_SECONDS = 0.2
+# A request to a member that leaves a ping or another request unanswered is
+# given up within this time, and not only after the request's own timeout.
+_CHECK_SECONDS = 0.2
 
 
-class Want(msgspec.Struct):
-    """What one waits for.
+class Waiter(msgspec.Struct):
+    """A caller that waits for changes of a prefix.
 
     Attributes:
         after: Revision up to which the changes are known.
-        answer: Gets the changes, or None if no member tells them.
+        reply: Gets the changes, or None if no member reports them.
     """
 
     after: int
-    answer: asyncio.Future[StoreItems | None]
+    reply: asyncio.Future[StoreItems | None]
 
 
 class JointWatch:
-    """Waits for changes of all prefixes at once.
+    """Watches several prefixes with one request at a time.
 
     Attributes:
-        wants: Who waits, by prefix.
-        joined: Set while anybody waits.
-        task: Asks for those who wait.
+        waiters: Waiters by prefix.
+        has_waiters: Set while there are any.
+        task: Sends the requests.
 
     Args:
-        choose: Returns the next member to ask, or None if there is none.
+        choose: Returns the next member to use, or None if there is none.
         link: Returns the link to a member.
     """
 
@@ -58,88 +58,95 @@
     ) -> None:
         self.choose = choose
         self.link = link
-        self.wants: dict[str, Want] = {}
-        self.joined = asyncio.Event()
+        self.waiters: dict[str, Waiter] = {}
+        self.has_waiters = asyncio.Event()
         self.task: asyncio.Task | None = None
 
     async def wait(self, prefix: str, after: int) -> StoreItems | None:
-        """Returns changes, perhaps none after a while; None if none tells."""
-        answer = asyncio.get_running_loop().create_future()
-        want = self.wants[prefix] = Want(after, answer)
-        self.joined.set()
+        """Waits for changes of a prefix.
+
+        Returns:
+            The changes, none of them after a timeout; None if no member
+            reports them.
+        """
+        reply = asyncio.get_running_loop().create_future()
+        waiter = self.waiters[prefix] = Waiter(after, reply)
+        self.has_waiters.set()
         if self.task is None:
-            self.task = start_loop("wait for the store", self._serve())
+            self.task = start_loop("watch of the store", self._serve())
         try:
-            return await answer
+            return await reply
         finally:
-            if self.wants.get(prefix) is want:
-                del self.wants[prefix]
+            if self.waiters.get(prefix) is waiter:
+                del self.waiters[prefix]
 
     async def _serve(self) -> None:
         while True:
-            await self.joined.wait()
+            await self.has_waiters.wait()
             await asyncio.sleep(_JOIN_SECONDS)
-            if self.wants:
-                await self._ask_next(dict(self.wants))
-            if not self.wants:
-                self.joined.clear()
+            if self.waiters:
+                await self._ask_next(dict(self.waiters))
+            if not self.waiters:
+                self.has_waiters.clear()
 
-    async def _ask_next(self, asked: dict[str, Want]) -> None:
-        """Asks the next member, and answers those who wait if it answers."""
+    async def _ask_next(self, waiters: dict[str, Waiter]) -> None:
+        """Sends a request to the next member and resolves the waiters."""
         member = self.choose()
         if member is None:
-            self._answer(asked, {})
+            self._resolve(waiters, {})
             return
-        ask = asyncio.create_task(self._ask(member, asked))
-        self._look_soon(ask, member, asked)
-        await asyncio.wait([ask])
-        if not ask.cancelled():
-            self._answer(asked, ask.result())
-
-    def _look_soon(
-        self, ask: asyncio.Task, member: Member, asked: dict[str, Want]
+        request = asyncio.create_task(self._ask(member, waiters))
+        self._schedule_check(request, member, waiters)
+        await asyncio.wait([request])
+        if not request.cancelled():
+            self._resolve(waiters, request.result())
+
+    def _schedule_check(
+        self, request: asyncio.Task, member: Member, waiters: dict[str, Waiter]
     ) -> None:
         loop = asyncio.get_running_loop()
-        loop.call_later(_LOOK_SECONDS, self._look, ask, member, asked)
+        loop.call_later(_CHECK_SECONDS, self._check, request, member, waiters)
 
-    def _look(
-        self, ask: asyncio.Task, member: Member, asked: dict[str, Want]
+    def _check(
+        self, request: asyncio.Task, member: Member, waiters: dict[str, Waiter]
     ) -> None:
-        """Gives a wait up that tells nothing, or leaves somebody out."""
-        if ask.done():
+        """Cancels a request to an unresponsive member, or without new waiters.
+
+        New waiters are those that came after the request was sent.
+        """
+        if request.done():
             return
         if self.link(member).failures:
             log_event("wait_given_up", keeper=member.name)
-            ask.cancel()
-        elif self.wants.keys() - asked.keys():
-            ask.cancel()
+            request.cancel()
+        elif self.waiters.keys() - waiters.keys():
+            request.cancel()
         else:
-            self._look_soon(ask, member, asked)
+            self._schedule_check(request, member, waiters)
 
     async def _ask(
-        self, member: Member, asked: dict[str, Want]
+        self, member: Member, waiters: dict[str, Waiter]
     ) -> dict[str, StoreItems]:
-        """Returns what a member tells, by prefix."""
-        after = {prefix: want.after for prefix, want in asked.items()}
+        """Returns the changes that a member reports, by prefix."""
+        after = {prefix: waiter.after for prefix, waiter in waiters.items()}
         first = next(iter(after))
         message = StoreWatch(first, after.pop(first), WATCH_SECONDS, after)
-        said = await self.link(member).ask(
-            message, WATCH_SECONDS + _ANSWER_SECONDS
+        reply = await self.link(member).ask(
+            message, WATCH_SECONDS + _REPLY_TIMEOUT_SECONDS
         )
-        if not isinstance(said, StoreItems):
+        if not isinstance(reply, StoreItems):
             return {}
-        return {first: said, **said.others}
+        return {first: reply, **reply.others}
 
-    def _answer(
-        self, asked: dict[str, Want], told: dict[str, StoreItems]
+    def _resolve(
+        self, waiters: dict[str, Waiter], replies: dict[str, StoreItems]
     ) -> None:
-        """Answers those who waited.
+        """Resolves waiters with the replies for their prefixes.
 
-        One that the answer leaves out, though it tells of others, has to ask
-        elsewhere.
+        A waiter whose prefix is not in the replies has to ask elsewhere.
         """
-        for prefix, want in asked.items():
-            if self.wants.get(prefix) is want:
-                del self.wants[prefix]
-            if not want.answer.done():
-                want.answer.set_result(told.get(prefix))
+        for prefix, waiter in waiters.items():
+            if self.waiters.get(prefix) is waiter:
+                del self.waiters[prefix]
+            if not waiter.reply.done():
+                waiter.reply.set_result(replies.get(prefix))
--- a/libs/keeper/src/rattanmill_keeper/keeper.py
+++ b/libs/keeper/src/rattanmill_keeper/keeper.py
@@ -1,4 +1,4 @@
-"""A storage instance: accounts of budgets and kept turns."""
+"""A storage instance: budget accounts and kept turns on its disk."""
 
 import asyncio
 import pathlib
@@ -84,39 +84,43 @@
 from rattanmill_keeper.turns import HomeOf, Intake, TurnTable
 from rattanmill_platform import KeyValue
 
-_PAGE = 500
+_PAGE_ENTRIES = 500
 _SWEEP_SECONDS = 1.0
 _FOLDER = "journal"
 
 
 class Keeper:
-    """Holds accounts and turns, and answers for them.
+    """Stores accounts and turns, and serves requests for them.
 
     Attributes:
         ledger: Accounts and homes.
         table: Turns.
-        whole: Whether it has all that its disk should hold. Until then it
-            opens no account, agrees to none and denies no turn.
-        leaving: Whether it is being emptied.
-        is_closed: Whether it takes nothing any more, as the others have all.
-        run: Id of this run of the process.
-        is_confirmed: Whether the others still count this instance.
-        unheard: Others that may have agreed to accounts without this instance
-            and have not told of them yet.
-        followed: Position up to which each other one has followed this run.
-        level_at: Loop time at which this one had last all that another one,
-            which was whole, had taken in.
-        alone_from: Seconds since 1970 from which it may grant alone to
-            programs that it has not heard of.
-        crashes: What fronts told of crashes.
-        may_open: Finds out whether an account may be opened here.
+        is_recovered: Whether it holds all data that its disk should hold.
+            Until then it opens no account, agrees to none and does not report
+            any turn as nonexistent.
+        is_decommissioning: Whether it is being decommissioned.
+        is_closed: Whether it rejects all writes because the other instances
+            already hold all of its data.
+        run: ID of this run of the process.
+        is_lease_valid: Returns whether the registration lease can't have
+            expired, so that the others still count this instance.
+        unsynced_peers: Instances that may have agreed to accounts without this
+            one and have not reported these accounts yet.
+        follower_positions: Position up to which each other instance has
+            followed this run, by name.
+        caught_up_at: Loop time at which this instance last held everything
+            that another, recovered instance had stored, by name.
+        alone_from: Unix time in seconds from which it may grant alone to
+            programs that it does not know.
+        crashes: Crashes reported by front ends.
+        may_open: Checks whether an account may be opened here.
 
     Args:
         name: Name of this instance.
         folder: Its data folder.
         first_start: Whether the whole system starts for the first time.
         members: The storage instances.
-        kv: The platform's store.
+        kv: The platform store.
         metrics: Counters.
     """
 
@@ -143,7 +147,7 @@
         self.crashes = CrashBoard(self.run)
         self.first_start = first_start
         self.is_recovered = first_start
-        # A disk that is new or was lost may have held what was granted alone.
+        # A new or replaced disk may stand for one that held grants made alone.
         self.alone_from = 0.0 if first_start else float("inf")
         self.is_lease_valid: Callable[[], bool] = lambda: True
         self.unsynced_peers: set[str] = set()
@@ -152,19 +156,19 @@
         self.is_decommissioning = False
         self.is_closed = False
         self.may_open = may_open
-        self.noted: set[str] = set()
+        self.recorded_roster: set[str] = set()
         self.sweeper: asyncio.Task | None = None
 
     async def __aenter__(self) -> Self:
         self._restore()
         if not self.first_start:
-            # Its registration may have lapsed while it was down.
+            # Its registration may have expired while it was down.
             self.mark_possibly_excluded()
         await self.journal.__aenter__()
         await self.mirrors.__aenter__()
         if self.is_recovered:
             self.mark_recovered()
-        self.sweeper = start_loop("sweep of turns", self._sweep_for_ever())
+        self.sweeper = start_loop("expiry sweep", self._sweep_forever())
         return self
 
     async def __aexit__(self, *exc_info: object) -> None:
@@ -174,7 +178,7 @@
         await self.journal.__aexit__(*exc_info)
 
     def mark_recovered(self) -> None:
-        """Says, also on disk, that nothing is missing here."""
+        """Records, also on disk, that no data is missing here."""
         if not self.is_recovered:
             log_event("keeper_whole", turns=len(self.table.held))
             self.alone_from = wall_seconds() + FORGET_SECONDS
@@ -182,14 +186,19 @@
         write_mark(self.folder, Mark(self.alone_from))
 
     async def serve(self, message: msgspec.Struct) -> msgspec.Struct:
-        """Returns the answer to one request."""
+        """Returns the reply to one request."""
         reply = self.answer(message)
         return reply if isinstance(reply, msgspec.Struct) else await reply
 
     def answer(
         self, message: msgspec.Struct
     ) -> msgspec.Struct | Awaitable[msgspec.Struct]:
-        """Answers one request, at once if it needs neither disk nor others."""
+        """Handles one request.
+
+        Returns:
+            The reply, or an awaitable of it if the request needs the disk or
+            other instances.
+        """
         match message:
             case Reserve():
                 return self.reserve(message)
@@ -226,18 +235,18 @@
                 return Done()
             case StoreList() | StoreWatch():
                 return self.mirrors.serve(message)
-        return Unsure("not understood")
+        return Unsure("unknown request type")
 
     async def reserve(
         self, ask: Reserve
     ) -> Recorded | Full | Reserved | Unsure:
-        """Records a reservation, and answers once it is on disk."""
+        """Records a reservation and replies once it is on disk."""
         if self.is_closed:
-            return Unsure("emptied")
+            return Unsure("already decommissioned")
         if ask.alone:
             return await self._reserve_alone(ask)
         if not self.is_recovered:
-            return Unsure("not whole yet")
+            return Unsure("the instance has not recovered yet")
         decision = self.ledger.record(ask)
         if not isinstance(decision, Recording):
             return decision
@@ -261,11 +270,11 @@
         return Reserved(decision.share.taken)
 
     def may_create_share(self) -> bool:
-        """Whether it may grant alone to programs that it has not heard of.
+        """Whether it may grant alone to programs that it does not know.
 
-        Not where it may have done so on a disk that was lost since. Nor with
-        more than three storage instances: then the consent of others may
-        leave out several, and each would grant.
+        Not if it may have done so on a disk that was lost since. Nor with more
+        than three storage instances: several of them may be left out when the
+        others agree to an account, and each of these would grant.
         """
         roster = self.members.roster()
         return (
@@ -278,23 +287,23 @@
         )
 
     def mark_possibly_excluded(self) -> None:
-        """Notes that this instance was perhaps not counted by the others.
+        """Notes that the others may have stopped counting this instance.
 
-        Until each has told what they agreed to, it grants nothing alone to
-        programs that it has not heard of.
+        Until each of them has reported what it agreed to, this instance does
+        not grant alone to programs that it does not know.
         """
         self.unsynced_peers = self.members.roster() - {self.name}
 
     async def give_back(self, program: str) -> GivenBack | Unsure:
-        """Grants no more alone; answers once that is on disk."""
+        """Stops granting alone to a program; replies once that is on disk."""
         if wall_seconds() < self.alone_from:
-            return Unsure("what was granted alone went with the disk")
+            return Unsure("grants made alone were lost with the disk")
         change = self.ledger.close_share(program)
         await self._append(change)
         return GivenBack(change.share.taken)
 
     async def close_shares(self) -> None:
-        """Returns when what this instance alone may grant is given back."""
+        """Gives back all that this instance may still grant alone."""
         changes = [
             change
             for program in self.ledger.accounts
@@ -303,12 +312,16 @@
         await asyncio.gather(*map(self._append, changes))
 
     def show(self, program: str) -> Shown | Unsure:
-        """Shows an account as it is known here."""
+        """Returns an account as it is known here."""
         account = self.ledger.accounts.get(program)
         return Shown(account) if account else Unsure("not held here")
 
     def merge(self, accounts: list[Account]) -> list[AccountChange]:
-        """Takes what other holders know; returns what has to be on disk."""
+        """Merges accounts from other holders.
+
+        Returns:
+            The changes that have to be written to disk.
+        """
         changes = [
             change
             for account in accounts
@@ -316,7 +329,7 @@
         ]
         for change in changes:
             self.intake.add(change.account.program)
-            # It may say other holders than were known here.
+            # Its holders may differ from those known here so far.
             self.intake.add(HomeOf(change.account.program))
         return changes
 
@@ -340,9 +353,9 @@
         if not isinstance(found, Opening):
             return found
         if not self.is_recovered:
-            return Unsure("not whole yet")
+            return Unsure("the instance has not recovered yet")
         if self.is_decommissioning:
-            return Unsure("being emptied")
+            return Unsure("the instance is being decommissioned")
         if ask.program in self.ledger.opening:
             return Unsure("the account is being opened")
         self.ledger.opening.add(ask.program)
@@ -359,9 +372,9 @@
         holders = agreed_before or self.members.choose_holders(
             self.name, program
         )
-        # Its own consent is on disk as well before the account counts as
-        # open. Not known in memory yet: it would refuse another that opens
-        # the account at the same time, and both would give up.
+        # Its own consent must be on disk, too, before the account counts as
+        # open. It is not in memory yet: with it this instance would refuse
+        # another one that opens the account concurrently, and both would fail.
         home = HomeChange(Home(program, holders), wall_seconds())
         found, _ = await asyncio.gather(
             self.may_open(program, holders, self.ledger, self.members),
@@ -371,7 +384,8 @@
             found = await self._decide(home.home, found)
         if not isinstance(found, Consent):
             return found
-        # Whoever asked meanwhile was told that nothing is granted alone here.
+        # Any instance that asked in the meantime got the reply that nothing
+        # is granted alone here.
         is_old = bool(agreed_before) or program in self.ledger.homes
         place = self._place(ask, holders, found, is_old)
         change = self.ledger.open(Account(program, ask.budget, place))
@@ -410,11 +424,11 @@
         consent: Consent,
         is_old: bool,
     ) -> Place:
-        """Finds out for whom a part of the budget has to be reserved."""
+        """Returns the place of an account, with the reserve for its sharers."""
         sharers = consent.having | consent.missing
         if not sharers and not is_old and self.may_create_share():
             sharers = frozenset([self.name])
-        # What callers allow beyond the budget is one turn, for all together.
+        # Callers allow one turn beyond the budget, for all instances together.
         granting = len(consent.having) + min(len(sharers - consent.having), 1)
         most = granting * most_alone(ask.budget, ask.tokens)
         reserved = max(0, most - ask.tokens)
@@ -422,9 +436,9 @@
 
     async def _agree(self, ask: Agree) -> Agreed | Refused | Unsure:
         if not self.is_recovered:
-            return Unsure("not whole yet")
+            return Unsure("the instance has not recovered yet")
         if self.is_decommissioning:
-            return Unsure("being emptied")
+            return Unsure("the instance is being decommissioned")
         roster = self.members.roster()
         if not roster <= set(ask.roster):
             return Outdated(sorted(roster))
@@ -441,7 +455,7 @@
         return Agreed(ask.program in self.ledger.shares)
 
     async def write_home(self, change: HomeChange) -> None:
-        """Writes down where an account is, for the journal and followers."""
+        """Writes an account's home to the journal and for followers."""
         self.intake.add(HomeOf(change.home.program))
         await self._append(change)
 
@@ -449,15 +463,15 @@
         return await self.journal.append(encode(record))
 
     async def _settle(self, said: Settle) -> Done:
-        """Books in its turn: the reservation may have been sent just before."""
+        """Books in order: the reservation may have been sent just before."""
         return self.settle(said)
 
     async def _keep(self, kept: KeptTurn) -> Done | Unsure:
         await self.keep(kept)
-        return Unsure("emptied") if self.is_closed else Done()
+        return Unsure("already decommissioned") if self.is_closed else Done()
 
     async def keep(self, kept: KeptTurn) -> None:
-        """Takes a turn in and returns when it is on disk."""
+        """Stores a turn and returns when it is on disk."""
         segment = await self._append(kept)
         if self.table.add(kept, segment):
             self.intake.add(kept.turn)
@@ -466,11 +480,11 @@
         self.members.record_seen(ask.asker, ask.asker_run)
         after = ask.after if ask.run == self.run else 0
         self.follower_positions[ask.asker] = after
-        entries = self.intake.since(after, _PAGE)
+        entries = self.intake.since(after, _PAGE_ENTRIES)
         accounts: list[AccountRef] = []
         homes: list[Home] = []
         turns: list[TurnRef] = []
-        # In one pass: each of the others asks for all of it.
+        # A single pass, since every other instance requests all entries.
         for _, entry in entries:
             if isinstance(entry, HomeOf):
                 if holders := self.ledger.holders_of(entry.program):
@@ -496,9 +510,10 @@
         )
 
     def _absent_for(self, ask: Follow) -> list[str]:
-        """Returns who may have what an asker has lost with its disk.
+        """Returns absent members that may hold what an asker's disk has lost.
 
-        Not those that went before this instance had all that the asker had.
+        Members that left before this instance held everything that the asker
+        held are not among them.
         """
         if self.members.is_first_run(ask.asker, ask.asker_run):
             return []
@@ -513,12 +528,12 @@
 
     async def _merge(self, accounts: list[Account]) -> Done | Unsure:
         if not self.is_recovered or self.is_closed:
-            return Unsure("not whole, or emptied")
+            return Unsure("not recovered yet, or already decommissioned")
         await self.persist_accounts(accounts)
         return Done()
 
     async def persist_accounts(self, accounts: list[Account]) -> None:
-        """Returns when what other holders know is on disk here."""
+        """Merges accounts from other holders and writes them to disk."""
         await asyncio.gather(*map(self._append, self.merge(accounts)))
 
     def _restore(self) -> None:
@@ -564,37 +579,37 @@
             }
         )
 
-    def _note_roster(self) -> None:
-        """Writes down who there is, for the time after a restart."""
+    def _record_roster(self) -> None:
+        """Writes the roster to the journal, to be read after a restart."""
         names = self.members.roster()
-        if names != self.noted:
-            self.noted = names
+        if names != self.recorded_roster:
+            self.recorded_roster = names
             self.journal.note(encode(self._roster()))
             self.journal.wake.set()
 
-    async def _sweep_for_ever(self) -> None:
+    async def _sweep_forever(self) -> None:
         while True:
             await asyncio.sleep(_SWEEP_SECONDS)
             self.sweep()
 
     def sweep(self) -> None:
-        """Drops what is over, in memory and on disk."""
+        """Removes expired data from memory and disk."""
         for turn in self.table.expire():
             self.intake.remove(turn)
         for program in self.ledger.forget_old():
             self.intake.remove(program)
             self.intake.remove(HomeOf(program))
         self._drop_segments()
-        self._note_roster()
+        self._record_roster()
 
     def _drop_segments(self) -> None:
-        """Removes segments whose turns are over.
+        """Removes journal segments whose turns have all expired.
 
-        Accounts and homes of a segment stand again at the start of the next.
+        Accounts and homes of a segment are repeated at the start of the next.
         """
         numbers = self.journal.segments()
         needed = self.table.segments()
-        # The newest two stay: the snapshot of the newest may not be synced.
+        # Keeps the newest two: the snapshot in the newest may not be synced.
         for number in numbers[:-2]:
             if number not in needed:
                 self.journal.drop(number)
--- a/libs/keeper/src/rattanmill_keeper/members.py
+++ b/libs/keeper/src/rattanmill_keeper/members.py
@@ -1,4 +1,4 @@
-"""The storage instances, as the platform's store lists them."""
+"""The storage instances registered in the platform store."""
 
 import asyncio
 import collections
@@ -31,38 +31,40 @@
 from rattanmill_wire import RequestLink
 
 PREFIX = "rattanmill/keepers/"
-# Long against the store's usual outages of seconds, so that these lose no
-# registration; short against the time in which a lost disk must be replaced.
+# Long compared with the store's usual outages of seconds, so that these don't
+# end a registration; short compared with the time in which a lost disk must be
+# replaced.
 _LEASE_SECONDS = 10.0
 _RENEW_SECONDS = 2.5
-_WAIT_SECONDS = 10.0
-# A member that was not seen for so long is no longer counted when an account
-# is opened. One that was cut off opens none after half of it, see ``homes``.
+_WATCH_SECONDS = 10.0
+# A member that was not seen for this long is no longer counted when an account
+# is opened. An instance that is partitioned from the store stops opening
+# accounts after half of it, see ``homes``.
 ROSTER_EXPIRY_SECONDS = 3600.0
-# Whoever was lost longer ago held no turn that is still kept; twice the
-# retention in use.
+# A member that was lost longer ago held no turn that is still retained; twice
+# the retention in use.
 TURN_HOLDER_SECONDS = 120.0
-# A member whose registration has lapsed for so long is not counted any more,
-# see ``Members.roster``. By then it has stopped to grant alone, which it does
-# only for ``CONFIRMED_SECONDS`` after its last renewal: a lease less, so that
-# neither a slow answer of the store nor clocks that run apart matter.
+# A member whose registration expired this long ago is not counted any more, see
+# ``Members.roster``. By then it has stopped granting alone, which it does only
+# for ``LEASE_VALID_SECONDS`` after its last renewal: a lease less, so that
+# neither a slow reply of the store nor clock drift matters.
 _LAPSED_SECONDS = 10.0
 LEASE_VALID_SECONDS = 8.0
-# Without the store nobody can tell whether it has come back meanwhile.
-_HEARD_SECONDS = 12.0
-# Disks that may be lost at once where nothing else is said.
-_LOST_DISKS = 1
-# An entry that is missing after an outage of the store may only have lapsed
-# meanwhile: its holder registers again within about two renewals.
+# Without the store it is unknown whether the member has registered again.
+_MAX_STORE_SILENCE_SECONDS = 12.0
+# Disks that may be lost at once unless configured otherwise.
+_DEFAULT_DISK_LOSSES = 1
+# An entry that is missing after an outage of the store may have expired only
+# because of it: its holder registers again within about two renewals.
 REGISTRATION_GRACE_SECONDS = 6.0
-# A slow store answers in 0.2 s; a caller waits meanwhile.
-_CATCH_UP_SECONDS = 0.3
-# A watch tells of a change within milliseconds if it tells of it at all.
-_LATE_SECONDS = 0.1
-# A store that did not answer is not asked again sooner.
-_SILENT_SECONDS = 0.5
-# Others are asked for something each half second.
-_THERE_SECONDS = 1.0
+# A slow store replies in 0.2 s, and a caller is waiting.
+_READ_TIMEOUT_SECONDS = 0.3
+# A working watch reports a change within milliseconds.
+_WATCH_DELAY_SECONDS = 0.1
+# A store that did not reply is not read again sooner than this.
+_READ_RETRY_SECONDS = 0.5
+# Each member is sent some request every half second.
+_RECENT_REPLY_SECONDS = 1.0
 
 
 class Member(msgspec.Struct, frozen=True):
@@ -72,9 +74,9 @@
         name: Name.
         domain: Failure domain.
         address: ``IP:PORT`` for requests of other instances.
-        run: Id of the process's run.
-        leaving: Whether it is being emptied and takes nothing new.
-        emptied: Whether all that it holds lies elsewhere.
+        run: ID of the process's run.
+        leaving: Whether it is being decommissioned and accepts no new data.
+        emptied: Whether other instances hold all of its data.
     """
 
     name: str
@@ -86,10 +88,10 @@
 
 
 def rank(key: str, names: Iterable[str]) -> list[str]:
-    """Orders names by highest random weight for a key.
+    """Orders names by rendezvous hashing (highest random weight) for a key.
 
-    Every instance comes to the same order without asking anybody, and a name
-    that comes or goes moves only its own share of the keys.
+    All instances compute the same order without communicating, and adding or
+    removing a name moves only its own share of the keys.
     """
     return sorted(
         names,
@@ -110,30 +112,35 @@
 
 
 class Members:
-    """Storage instances known here, and a link to each.
+    """The storage instances known here, and a link to each.
 
     Attributes:
         known: Members by name.
-        key: Orders members, for each process in another way.
-        lost_disks: Disks that may be lost at once.
-        lost_at: Loop time at which a member was last removed that had not
-            been emptied, by name.
-        emptied: Members that were emptied and are gone.
-        first_runs: First run of each member that nobody had heard of before.
-        unregistered: Members that answer though their registration is gone.
-        seen: Seconds since 1970 at which each member was last known of.
-        recalled: Loop time until which members count that there were before
-            this process started, by name.
-        late: Waits for a change that others have heard of.
-        reading: Held while the store is read, by one at a time.
-        readings: Readings begun so far.
-        ended_reading: Number of the newest reading that has ended.
-        is_level: Whether the store answered then.
+        rank_key: Random key that gives each process its own order of members.
+        tolerated_disk_losses: Disks that may be lost at once.
+        ranked_members: Members when ``ranked_by_domain`` was computed.
+        ranked_by_domain: Members by failure domain, in this process's order.
+        lost_at: Loop time at which each member was last removed that had not
+            been decommissioned, by name.
+        decommissioned: Members that were decommissioned and removed.
+        first_runs: First run of each member that was seen here for the first
+            time, by name.
+        unregistered: Members that reply although their registration is gone.
+        last_seen: Unix time in seconds at which each member was last known to
+            be there, by name.
+        restored_until: Loop time until which members count that were there
+            before this process started, by name.
+        revision_wait: Task that waits until the watch reports a revision that
+            another instance has seen.
+        read_lock: Held while the store is read, so that one task does so.
+        reads_started: Number of reads started so far.
+        last_read_ended: Number of the newest read that has ended.
+        last_read_succeeded: Whether the store replied to it.
 
     Args:
-        kv: The platform's store.
+        kv: The platform store.
         on_change: Called after each change.
-        store: The store itself, where ``kv`` may answer through others.
+        store: The store itself, if ``kv`` may reply through other instances.
     """
 
     def __init__(
@@ -145,49 +152,50 @@
         self.kv = kv
         self.store = store or kv
         self.on_change = on_change
-        self.tolerated_disk_losses = _LOST_DISKS
+        self.tolerated_disk_losses = _DEFAULT_DISK_LOSSES
         self.known: dict[str, Member] = {}
         self.rank_key = uuid.uuid4().hex
-        self.ordered: list[Member] = []
-        self.by_domain: dict[str, list[Member]] = {}
+        self.ranked_members: list[Member] = []
+        self.ranked_by_domain: dict[str, list[Member]] = {}
         self.lost_at: dict[str, float] = {}
         self.decommissioned: set[str] = set()
         self.first_runs: dict[str, str] = {}
         self.last_seen: dict[str, float] = {}
-        self.recalled: dict[str, float] = {}
+        self.restored_until: dict[str, float] = {}
         self.links: dict[str, RequestLink] = {}
         self.codec = codec()
         self.watch = PrefixWatch(
             kv,
             PREFIX,
-            _WAIT_SECONDS,
+            _WATCH_SECONDS,
             self._on_written,
             self._on_removed,
             REGISTRATION_GRACE_SECONDS,
         )
         self.unregistered: set[str] = set()
-        self.late: asyncio.Task | None = None
-        self.reading = asyncio.Lock()
-        self.readings = 0
-        self.ended_reading = 0
-        self.is_level = False
+        self.revision_wait: asyncio.Task | None = None
+        self.read_lock = asyncio.Lock()
+        self.reads_started = 0
+        self.last_read_ended = 0
+        self.last_read_succeeded = False
 
     @property
     def synced(self) -> bool:
-        """Whether the store was heard at least once."""
+        """Whether the store has replied at least once."""
         return self.watch.synced
 
     def roster(self) -> set[str]:
         """Returns all members that may still open accounts.
 
-        One that is no longer listed may only be cut off. If it opens an
-        account it needs all but one of those that it knows and of those that
-        these know, so also all but one of the members here; two such sets
-        share one that refuses the second. So one that is away for long need
-        not be counted: a machine that was replaced would keep new programs
-        waiting for as long as another one is away. Not more than one: with
-        several out of sight nothing says that they reach any of these. One
-        that was emptied has told the others all that it agreed to.
+        A member that is no longer registered may only be partitioned. To open
+        an account it needs the consent of all but one of the members that it
+        and they know, hence also of all but one of the members here; two such
+        sets share a member that refuses the second request. So one member that
+        has been absent for long need not be counted: otherwise a machine that
+        was replaced would block new programs for as long as another one is
+        absent. At most one member is left out: if several are out of contact,
+        nothing shows that they reach any of the members here. A member that
+        was decommissioned has reported everything that it agreed to.
         """
         now = wall_seconds()
         self.last_seen.update(dict.fromkeys(self.known, now))
@@ -200,31 +208,34 @@
         }
 
     def _lapsed(self) -> set[str]:
-        """Returns the one member that was lost first, if long enough ago."""
+        """Returns the member that was lost first, if that was long ago."""
         now = loop_seconds()
-        if self.store_silence_seconds() > _HEARD_SECONDS or not self.lost_at:
+        if (
+            self.store_silence_seconds() > _MAX_STORE_SILENCE_SECONDS
+            or not self.lost_at
+        ):
             return set()
         first = min(self.lost_at, key=self.lost_at.__getitem__)
         is_long = now - self.lost_at[first] > _LAPSED_SECONDS
         return {first} if is_long else set()
 
-    def restore_seen(self, seen: dict[str, float]) -> None:
-        """Takes what was written down before this process started.
+    def restore_seen(self, last_seen: dict[str, float]) -> None:
+        """Restores the members recorded before this process started.
 
-        That is done when somebody comes or goes, perhaps hours ago: all that
-        were there may have been until just now.
+        The record is written when a member joins or leaves, perhaps hours ago:
+        all members in it may have been there until just now.
         """
-        newest = max(seen.values(), default=0.0)
-        self.last_seen.update(seen)
+        newest = max(last_seen.values(), default=0.0)
+        self.last_seen.update(last_seen)
         until = loop_seconds() + TURN_HOLDER_SECONDS
-        self.recalled = {
+        self.restored_until = {
             name: until
-            for name, at in seen.items()
+            for name, at in last_seen.items()
             if at > newest - TURN_HOLDER_SECONDS
         }
 
     def record_seen(self, name: str, run: str) -> None:
-        """Notes that a member is there, and whether it is new."""
+        """Records that a member is there, and its run if it is new."""
         if name not in self.last_seen:
             self.first_runs[name] = run
         self.last_seen[name] = wall_seconds()
@@ -234,60 +245,63 @@
         return self.first_runs.get(name) == run
 
     def unlisted(self) -> list[str]:
-        """Returns members that may hold turns though nobody lists them."""
+        """Returns members that may hold turns although not registered."""
         oldest = wall_seconds() - TURN_HOLDER_SECONDS
         now = loop_seconds()
         late = {name for name, at in self.last_seen.items() if at > oldest}
-        late |= {name for name, at in self.recalled.items() if at > now}
+        late |= {name for name, at in self.restored_until.items() if at > now}
         return sorted(late - self.known.keys() - self.decommissioned)
 
     def is_listed(self, key: str, value: bytes) -> bool:
-        """Whether the store lists a registration just so, as last heard."""
-        is_heard = self.watch.synced and self.watch.away_since is None
-        return is_heard and self.watch.values.get(key) == value
+        """Whether the store holds exactly this entry, as far as known here."""
+        is_current = self.watch.synced and self.watch.away_since is None
+        return is_current and self.watch.values.get(key) == value
 
     @property
     def changed_revision(self) -> int:
-        """Revision of the newest change of the list that was heard of."""
+        """Revision of the newest change of the list known here."""
         return self.watch.changed
 
     def store_silence_seconds(self) -> float:
-        """Returns the seconds since the store was last heard."""
+        """Returns the seconds since the store last replied."""
         return loop_seconds() - self.watch.heard_at
 
     async def catch_up(self) -> bool:
-        """Takes in who is registered by now; False if the store is silent.
+        """Reads the current registrations; False if the store is unreachable.
 
-        Those who ask while the store is being read share the next reading, so
-        that it is asked once at a time however many are in doubt.
+        Concurrent callers share the next read, so that there is one read at a
+        time no matter how many callers need one.
         """
-        begun = self.readings
-        async with self.reading:
-            if self.ended_reading <= begun:
-                self.readings += 1
-                self.is_level = await self._read_store()
-                self.ended_reading = self.readings
-            return self.is_level
+        begun = self.reads_started
+        async with self.read_lock:
+            if self.last_read_ended <= begun:
+                self.reads_started += 1
+                self.last_read_succeeded = await self._read_store()
+                self.last_read_ended = self.reads_started
+            return self.last_read_succeeded
 
     def expect_revision(self, revision: int) -> None:
-        """Another instance has heard of a change with this revision.
+        """Makes sure to learn of a change that another instance has seen.
 
-        A watch that has gone silent would tell of it only after its time.
+        A watch that no longer receives anything would report it only after
+        its timeout.
         """
-        is_waiting = self.late is not None and not self.late.done()
+        is_waiting = (
+            self.revision_wait is not None and not self.revision_wait.done()
+        )
         if revision > self.watch.revision and not is_waiting:
-            self.late = asyncio.create_task(self._wait_for(revision))
+            self.revision_wait = asyncio.create_task(self._wait_for(revision))
 
     async def _wait_for(self, revision: int) -> None:
-        await asyncio.sleep(_LATE_SECONDS)
+        await asyncio.sleep(_WATCH_DELAY_SECONDS)
         if revision > self.watch.revision and not await self.catch_up():
-            await asyncio.sleep(_SILENT_SECONDS)
+            await asyncio.sleep(_READ_RETRY_SECONDS)
 
     async def _read_store(self) -> bool:
         before = self.watch.revision
         answers = False
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(_CATCH_UP_SECONDS):
+            async with asyncio.timeout(_READ_TIMEOUT_SECONDS):
                 answers = await self.watch.catch_up(self.store)
         log_event(
             "keepers_read",
@@ -302,8 +316,8 @@
         return self
 
     async def __aexit__(self, *exc_info: object) -> None:
-        if self.late:
-            self.late.cancel()
+        if self.revision_wait:
+            self.revision_wait.cancel()
         await self.watch.__aexit__()
         for link in self.links.values():
             link.close()
@@ -311,25 +325,26 @@
     def ranked(self) -> dict[str, list[Member]]:
         """Returns all members by failure domain, in this process's order.
 
-        They are put in order once a change, and not each time that they are
-        asked for.
+        The order is computed once per change and not with each call.
         """
-        there = list(self.known.values())
-        if there != self.ordered:
-            self.ordered = there
-            self.by_domain = _by_domain(self.rank_key, there)
-        return self.by_domain
+        current = list(self.known.values())
+        if current != self.ranked_members:
+            self.ranked_members = current
+            self.ranked_by_domain = _by_domain(self.rank_key, current)
+        return self.ranked_by_domain
 
     def writable_domains(self) -> dict[str, list[Member]]:
-        """Returns members that take something new, by failure domain."""
-        taking = {
-            domain: [member for member in there if not member.leaving]
-            for domain, there in self.ranked().items()
+        """Returns the members that accept new data, by failure domain."""
+        writable = {
+            domain: [member for member in members if not member.leaving]
+            for domain, members in self.ranked().items()
+        }
+        return {
+            domain: members for domain, members in writable.items() if members
         }
-        return {domain: there for domain, there in taking.items() if there}
 
     def replicas(self, key: str) -> list[Member]:
-        """Returns the member of each failure domain that keeps a key."""
+        """Returns the member of each failure domain that stores a key."""
         chosen = []
         for members in self.writable_domains().values():
             by_name = {member.name: member for member in members}
@@ -337,21 +352,22 @@
         return chosen
 
     def are_others_unresponsive(self, name: str) -> bool:
-        """Whether none but ``name`` itself answered when it was last asked."""
+        """Whether no member but ``name`` replied to its last request."""
         others = [
             member for member in self.known.values() if member.name != name
         ]
         return all(self.link(member).failures for member in others)
 
     def choose_holders(self, name: str, key: str) -> tuple[str, ...]:
-        """Chooses who is to hold an account, in different domains if it can.
+        """Chooses the holders of an account, in different domains if possible.
 
-        A permission is on the disks of a majority. That majority must be more
-        than may be lost at once, and another one must be left then: with one
-        lost disk three holders, with two five.
+        A budget reservation is on the disks of a majority. That majority must
+        be larger than the number of disks that may be lost at once, and another
+        majority must remain then: three holders for one lost disk, five for
+        two.
 
         Args:
-            name: The one that opens it, the first of them.
+            name: The instance that opens the account, the first holder.
             key: The program.
         """
         mine = self.known.get(name)
@@ -361,7 +377,7 @@
             if member.name != name and not member.leaving
         }
         ranked = rank(key, others)
-        # One that is silent would only leave a majority with nobody to spare.
+        # With an unresponsive holder the majority would have none to spare.
         ranked.sort(key=lambda other: bool(self.link(others[other]).failures))
         chosen = [name]
         taken = collections.Counter([mine.domain if mine else ""])
@@ -413,21 +429,25 @@
         self._drop(key.removeprefix(PREFIX))
 
     def _drop(self, name: str) -> None:
-        """Drops a member whose registration is gone, once it is silent.
+        """Drops an unregistered member once it is unresponsive.
 
-        The store may have ended the lease of one that is there: dropped, what
-        it holds would be out of reach, and what it could take would not count.
+        The store may have ended the lease of a running member: without it, the
+        data that it holds would be unreachable, and what it could store would
+        not count.
         """
         member = self.known.get(name)
         if member is None or PREFIX + name in self.watch.values:
             return
-        if not member.emptied and self.link(member).is_heard(_THERE_SECONDS):
-            self._look_again(name)
+        if not member.emptied and self.link(member).is_heard(
+            _RECENT_REPLY_SECONDS
+        ):
+            self._retry_drop(name)
             return
         del self.known[name]
         self.unregistered.discard(name)
         self.last_seen[name] = wall_seconds()
-        # One that was killed or cut off while it was emptied only leaves.
+        # A member that was killed or partitioned during its decommissioning is
+        # ``leaving``, but not ``emptied``.
         if member.emptied:
             self.decommissioned.add(name)
         else:
@@ -441,12 +461,12 @@
         )
         self.on_change()
 
-    def _look_again(self, name: str) -> None:
+    def _retry_drop(self, name: str) -> None:
         if name not in self.unregistered:
             self.unregistered.add(name)
             log_event("keeper_unregistered", keeper=name)
         loop = asyncio.get_running_loop()
-        loop.call_later(_THERE_SECONDS, self._drop, name)
+        loop.call_later(_RECENT_REPLY_SECONDS, self._drop, name)
 
 
 class Registration:
@@ -454,15 +474,17 @@
 
     Attributes:
         lease: The lease, or empty.
-        written: The lease under which the entry was last seen in the store.
-        is_listed: Whether a watch shows a key with a value just now; saves a
-            call to the store with each renewal.
-        confirmed_at: When the newest renewal that was answered was asked for.
+        written_lease: The lease under which the entry was last seen in the
+            store.
+        is_listed: Whether a watch currently reports a key with a value; saves
+            a call to the store with each renewal.
+        renewed_at: When the newest renewal that succeeded was requested, by
+            the boot clock.
         on_lapse: Called when the store has ended the registration, before it
-            is made anew.
+            is renewed.
 
     Args:
-        kv: The platform's store.
+        kv: The platform store.
         member: This instance.
     """
 
@@ -470,15 +492,15 @@
         self.kv = kv
         self.member = member
         self.lease = ""
-        self.written = ""
+        self.written_lease = ""
         self.is_listed: Callable[[str, bytes], bool] = lambda key, value: False
-        self.confirmed_at = float("-inf")
+        self.renewed_at = float("-inf")
         self.on_lapse: Callable[[], None] = lambda: None
         self.task: asyncio.Task | None = None
         self.wake = asyncio.Event()
 
     async def __aenter__(self) -> Self:
-        self.task = start_loop("registration", self._keep_up())
+        self.task = start_loop("registration", self._renew_forever())
         return self
 
     async def __aexit__(self, *exc_info: object) -> None:
@@ -487,11 +509,11 @@
 
     @property
     def is_lease_valid(self) -> bool:
-        """Whether the lease was renewed so lately that it can't have lapsed.
+        """Whether the last renewal is so recent that the lease can't be over.
 
-        By a clock that goes on while the machine is suspended.
+        Uses a clock that goes on while the machine is suspended.
         """
-        return boot_seconds() - self.confirmed_at < LEASE_VALID_SECONDS
+        return boot_seconds() - self.renewed_at < LEASE_VALID_SECONDS
 
     async def end(self) -> None:
         """Ends the registration at once."""
@@ -501,17 +523,17 @@
             await self.kv.revoke(self.lease)
 
     def update(self, member: Member) -> None:
-        """Registers this instance anew, as it is now."""
+        """Registers this instance with a new state."""
         self.member = member
         self.wake.set()
 
-    async def _keep_up(self) -> None:
+    async def _renew_forever(self) -> None:
         while True:
             if self.lease:
-                asked_at = boot_seconds()
+                requested_at = boot_seconds()
                 renewed = await self.kv.renew(self.lease)
                 if renewed is True:
-                    self.confirmed_at = asked_at
+                    self.renewed_at = requested_at
                 if renewed is False:
                     log_event("registration_lapsed", lease=self.lease)
                     self.lease = ""
@@ -528,30 +550,30 @@
                 continue
 
     async def _register(self) -> None:
-        """Writes the entry unless the store holds it as it should be.
+        """Writes the entry unless the store already holds it.
 
-        The store may take a key away though its lease goes on.
+        The store may remove a key although its lease is still valid.
         """
         if not self.lease:
-            asked_at = boot_seconds()
+            requested_at = boot_seconds()
             granted = await self.kv.grant(_LEASE_SECONDS)
             if isinstance(granted, Unavailable):
                 return
             self.lease = granted
-            self.confirmed_at = asked_at
+            self.renewed_at = requested_at
         key = PREFIX + self.member.name
         value = msgspec.json.encode(self.member)
-        if self.lease == self.written and self.is_listed(key, value):
+        if self.lease == self.written_lease and self.is_listed(key, value):
             return
         revision = 0
         match await self.kv.read(key):
             case Unavailable():
                 return
-            case Missing() if self.written == self.lease:
+            case Missing() if self.written_lease == self.lease:
                 self.on_lapse()
             case Found(entry=entry):
                 if entry.value == value and entry.lease == self.lease:
-                    self.written = self.lease
+                    self.written_lease = self.lease
                     return
                 revision = entry.revision
         outcome = await self.kv.write(key, value, revision, self.lease)
--- a/libs/keeper/src/rattanmill_keeper/mirror.py
+++ b/libs/keeper/src/rattanmill_keeper/mirror.py
@@ -1,8 +1,9 @@
-"""What a storage instance follows of the platform's store for fronts.
+"""Mirrors of prefixes of the platform store that front ends read.
 
-The store counts each call, a waiting watch as one, and each change answers
-all watches. Fronts read through a storage instance, which has one watch for
-all of them; a front that hears nothing there asks the store itself.
+The store counts each call, also a pending watch, and each change completes all
+watches. Front ends therefore read through a storage instance, which has one
+watch for all of them; a front end that gets no reply there reads the store
+itself.
 """
 
 import asyncio
@@ -29,17 +30,18 @@
     PrefixWatch,
 )
 
-# A watch answers when its time is over. One that is overdue may be behind.
-_FRESH_SECONDS = 3.4
-# Some minutes of changes; a front asks each second.
-_MOST_CHANGES = 2_000
+# A watch completes when its timeout is over. If it is overdue, the mirror may
+# be stale.
+_MAX_AGE_SECONDS = 3.4
+# Some minutes of changes; a front end sends a request each second.
+_MAX_CHANGES = 2_000
 
 
 class Change(msgspec.Struct, frozen=True):
     """A change under a prefix.
 
     Attributes:
-        revision: The store's revision when it was heard of.
+        revision: The store's revision when the change was received.
         key: Key.
         value: New value, or None if the key was removed.
     """
@@ -50,18 +52,20 @@
 
 
 class Mirror:
-    """One prefix as it was last heard, and its changes for those who wait.
+    """The last known state of one prefix, and its recent changes.
 
     Attributes:
-        watch: Follows the prefix.
+        watch: Watches the prefix.
         changes: Newest changes, oldest first.
-        floor: Revision from which on all changes are at hand.
+        history_start: Revision from which on all changes are available.
+        change_event: Set at each change.
 
     Args:
-        kv: The platform's store.
-        prefix: What to follow.
+        kv: The platform store.
+        prefix: The prefix to watch.
         grace_seconds: How long a missing key may take to come back.
-        news: Set at each change; several mirrors may share it.
+        change_event: Event to set at each change; several mirrors may share
+            it.
     """
 
     def __init__(
@@ -69,10 +73,10 @@
         kv: KeyValue,
         prefix: str,
         grace_seconds: float = BACK_SECONDS,
-        news: asyncio.Event | None = None,
+        change_event: asyncio.Event | None = None,
     ) -> None:
-        # A missing entry is not passed on before its grace is over: a live
-        # endpoint would be taken for gone.
+        # A missing entry is reported only after its grace period: otherwise a
+        # live endpoint would be considered removed.
         self.watch = PrefixWatch(
             kv,
             prefix,
@@ -82,62 +86,64 @@
             grace_seconds,
         )
         self.changes: collections.deque[Change] = collections.deque()
-        self.floor: int | None = None
-        self.news = news or asyncio.Event()
+        self.history_start: int | None = None
+        self.change_event = change_event or asyncio.Event()
 
     @property
     def is_fresh(self) -> bool:
-        """Whether what stands here is what the store has, but for moments."""
+        """Whether the mirror is at most moments behind the store."""
         age = loop_seconds() - self.watch.heard_at
         return (
             self.watch.synced
             and self.watch.away_since is None
-            and age < _FRESH_SECONDS
+            and age < _MAX_AGE_SECONDS
         )
 
     @property
-    def waits(self) -> int:
-        """Revision at which keys were missing that may be back soon, or 0."""
+    def missing_revision(self) -> int:
+        """Revision at which keys were missing that may come back, or 0."""
         return self.watch.missing_from if self.watch.missing else 0
 
     def list_all(self) -> StoreItems | Unsure:
-        """Returns all keys, also those that may be back soon."""
+        """Returns all keys, including missing ones that may come back."""
         if not self.is_fresh:
-            return Unsure("the store does not answer here either")
-        if self.floor is None:
-            self.floor = self.watch.revision
-        there = self.watch.values | self.watch.missing
-        items = [StoreItem(key, value, 0) for key, value in there.items()]
-        return StoreItems(items, self.watch.revision, self.waits)
+            return Unsure("the store is unreachable from here, too")
+        if self.history_start is None:
+            self.history_start = self.watch.revision
+        entries = self.watch.values | self.watch.missing
+        items = [StoreItem(key, value, 0) for key, value in entries.items()]
+        return StoreItems(items, self.watch.revision, self.missing_revision)
 
     async def wait(self, after: int, seconds: float) -> StoreItems | Unsure:
         """Returns changes after a revision, once there are any.
 
-        Also once a missing key is waited for no more: its removal is of a
-        revision that was told before.
+        Also returns once the grace period of a missing key is over: its
+        removal has a revision that was reported before.
         """
-        await wait_for_news(self.news, {self: after}, seconds)
-        return self.tell(after)
+        await wait_for_change(self.change_event, {self: after}, seconds)
+        return self.changes_after(after)
 
-    def tell(self, after: int) -> StoreItems | Unsure:
-        """Returns changes after a revision, as far as there are any."""
+    def changes_after(self, after: int) -> StoreItems | Unsure:
+        """Returns the changes after a revision, if any."""
         if not self.is_fresh:
-            return Unsure("the store does not answer here either")
-        if self.floor is None or after < self.floor:
-            return Unsure("what was changed since is not at hand")
+            return Unsure("the store is unreachable from here, too")
+        if self.history_start is None or after < self.history_start:
+            return Unsure("changes since that revision are not available")
         items = [StoreItem(c.key, c.value, 0) for c in self._since(after)]
         revision = max(after, self.watch.revision)
-        return StoreItems(items, revision, self.waits)
+        return StoreItems(items, revision, self.missing_revision)
 
-    def has_news(self, after: int, waited: int) -> bool:
-        """Whether one who waits has to be answered.
+    def must_reply(self, after: int, missing_revision: int) -> bool:
+        """Whether a pending watch request has to be answered.
 
         Args:
-            after: Revision up to which the changes are known.
-            waited: ``waits`` when the wait began.
+            after: Revision up to which the client knows the changes.
+            missing_revision: ``missing_revision`` when the request began.
         """
         return (
-            not self.is_fresh or bool(self._since(after)) or self.waits < waited
+            not self.is_fresh
+            or bool(self._since(after))
+            or self.missing_revision < missing_revision
         )
 
     def _since(self, after: int) -> list[Change]:
@@ -151,46 +157,46 @@
 
     def _add(self, key: str, value: bytes | None) -> None:
         revision = self.watch.revision
-        if self.floor is None:
-            self.floor = revision
+        if self.history_start is None:
+            self.history_start = revision
         self.changes.append(Change(revision, key, value))
-        while len(self.changes) > _MOST_CHANGES:
-            self.floor = self.changes.popleft().revision
-        self.news.set()
+        while len(self.changes) > _MAX_CHANGES:
+            self.history_start = self.changes.popleft().revision
+        self.change_event.set()
 
 
-async def wait_for_news(
-    news: asyncio.Event, asked: dict[Mirror, int], seconds: float
+async def wait_for_change(
+    change_event: asyncio.Event, revisions: dict[Mirror, int], seconds: float
 ) -> None:
-    """Returns once one of several mirrors has news, or the time is over.
+    """Returns once one of several mirrors must reply, or after a timeout.
 
     Args:
-        news: What all of them set.
-        asked: Revision up to which the changes are known, by mirror.
-        seconds: How long to wait.
+        change_event: Event that all of the mirrors set.
+        revisions: Revision up to which the changes are known, by mirror.
+        seconds: The timeout.
     """
-    waited = {mirror: mirror.waits for mirror in asked}
+    missing = {mirror: mirror.missing_revision for mirror in revisions}
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(seconds):
             while not any(
-                mirror.has_news(after, waited[mirror])
-                for mirror, after in asked.items()
+                mirror.must_reply(after, missing[mirror])
+                for mirror, after in revisions.items()
             ):
-                news.clear()
-                await news.wait()
+                change_event.clear()
+                await change_event.wait()
 
 
 class Mirrors:
-    """Mirrors of the prefixes that fronts ask for.
+    """Mirrors of the prefixes that front ends request.
 
     Args:
-        kv: The platform's store.
+        kv: The platform store.
     """
 
     def __init__(self, kv: KeyValue) -> None:
         self.kv = kv
         self.mirrors: dict[str, Mirror] = {}
-        self.news = asyncio.Event()
+        self.change_event = asyncio.Event()
         self.stack = contextlib.AsyncExitStack()
 
     async def __aenter__(self) -> Self:
@@ -201,7 +207,7 @@
         await self.stack.__aexit__(*exc_info)
 
     async def serve(self, ask: StoreList | StoreWatch) -> StoreItems | Unsure:
-        """Answers a front."""
+        """Returns the reply to a front end's request."""
         mirror = await self._mirror(ask.prefix)
         if isinstance(ask, StoreList):
             return mirror.list_all()
@@ -209,12 +215,12 @@
             await self._mirror(prefix): after
             for prefix, after in ask.others.items()
         }
-        asked = {mirror: ask.after, **others}
-        await wait_for_news(self.news, asked, ask.seconds)
-        said = mirror.tell(ask.after)
-        if isinstance(said, StoreItems):
-            said.others = _tell_all(others)
-        return said
+        revisions = {mirror: ask.after, **others}
+        await wait_for_change(self.change_event, revisions, ask.seconds)
+        reply = mirror.changes_after(ask.after)
+        if isinstance(reply, StoreItems):
+            reply.others = _changes_by_prefix(others)
+        return reply
 
     async def _mirror(self, prefix: str) -> Mirror:
         mirror = self.mirrors.get(prefix)
@@ -222,20 +228,20 @@
             grace = (
                 REGISTRATION_GRACE_SECONDS if prefix == PREFIX else BACK_SECONDS
             )
-            mirror = Mirror(self.kv, prefix, grace, self.news)
+            mirror = Mirror(self.kv, prefix, grace, self.change_event)
             self.mirrors[prefix] = mirror
             await self.stack.enter_async_context(mirror.watch)
         return mirror
 
 
-def _tell_all(asked: dict[Mirror, int]) -> dict[str, StoreItems]:
-    """Returns the changes under each prefix of which something is known."""
-    told = {
-        mirror.watch.prefix: mirror.tell(after)
-        for mirror, after in asked.items()
+def _changes_by_prefix(revisions: dict[Mirror, int]) -> dict[str, StoreItems]:
+    """Returns the changes under each prefix whose mirror is up to date."""
+    replies = {
+        mirror.watch.prefix: mirror.changes_after(after)
+        for mirror, after in revisions.items()
     }
     return {
-        prefix: said
-        for prefix, said in told.items()
-        if isinstance(said, StoreItems)
+        prefix: reply
+        for prefix, reply in replies.items()
+        if isinstance(reply, StoreItems)
     }
--- a/libs/keeper/src/rattanmill_keeper/relayed.py
+++ b/libs/keeper/src/rattanmill_keeper/relayed.py
@@ -1,9 +1,10 @@
-"""Reads the platform's store through storage instances where that is enough.
+"""Reads the platform store through storage instances where that suffices.
 
-The store counts each call, and with a watch or two for each process it would
-count some hundred a second for a few dozen processes. It may also turn some
-instances away and serve the others; without another way, such an instance goes
-on with an old configuration and sends work to endpoints that have left.
+The store counts each call; with a watch or two per process, a few dozen
+processes would cause some hundred calls a second. The store may also reject
+some instances and serve the others; without another way to read it, such an
+instance would go on with an old configuration and send work to endpoints that
+have left.
 """
 
 import asyncio
@@ -30,19 +31,22 @@
 )
 
 _Direct = TypeVar("_Direct")
-_LIST_SECONDS = 1.0
-_ANSWER_SECONDS = 0.7
-# Directly, for want of a member; one may be there again soon.
-_DIRECT_SECONDS = 1.0
+_LIST_TIMEOUT_SECONDS = 1.0
+_REPLY_TIMEOUT_SECONDS = 0.7
+# Bound of a direct watch if no member relays; one may do so again soon.
+_DIRECT_WATCH_SECONDS = 1.0
 
 
 class RelayedKv:
-    """A key-value service, asked through members or directly.
+    """A key-value service, read through members or directly.
 
     Attributes:
         members: The storage instances, once they are known.
-        relayed: Whether the last answer came through one.
-        waiting: Prefixes of which one has listed keys that may be gone.
+        relayed: Whether the last reply came through a member.
+        turn: Counter that selects the member to use next.
+        prefixes_with_missing: Prefixes whose last list contains missing keys
+            that may be gone.
+        joint: The watch that all mirrored prefixes share.
 
     Args:
         direct: The service.
@@ -59,7 +63,7 @@
         self.members: Members | None = None
         self.relayed = False
         self.turn = 0
-        self.waiting: set[str] = set()
+        self.prefixes_with_missing: set[str] = set()
         self.joint = JointWatch(
             self._choose, lambda member: self.members.link(member)
         )
@@ -90,34 +94,34 @@
         """Reads all keys under a prefix."""
         message = StoreList(prefix)
         first = await self._list_first(message)
-        said = first or await self._ask_others(
-            message, _LIST_SECONDS, lambda: self.direct.list(prefix)
+        reply = first or await self._ask_others(
+            message, _LIST_TIMEOUT_SECONDS, lambda: self.direct.list(prefix)
         )
-        self.waiting.discard(prefix)
-        if not isinstance(said, StoreItems):
-            return said
-        if said.waits:
-            self.waiting.add(prefix)
+        self.prefixes_with_missing.discard(prefix)
+        if not isinstance(reply, StoreItems):
+            return reply
+        if reply.waits:
+            self.prefixes_with_missing.add(prefix)
         entries = [
             Entry(item.key, item.value or b"", item.revision)
-            for item in said.items
+            for item in reply.items
         ]
-        return Range(entries, said.revision)
+        return Range(entries, reply.revision)
 
     async def watch(
         self, prefix: str, after: int, seconds: float
     ) -> WatchEvents | HistoryLost | Unavailable:
         """Waits for changes after a revision.
 
-        Keys that were listed though they may be gone are read again when a
-        member waits for none any more: the revision of their removal was told
-        before, so no watch reports it.
+        A prefix that was listed with missing keys is read again once the grace
+        period of all of them is over: their removal has a revision that was
+        reported before, so no watch reports it.
         """
 
         def watch_directly() -> Awaitable:
-            # Shorter where a member can take over again.
+            # Shorter if a member can take over again.
             is_short = self.relayed or prefix in self.mirrored
-            most = min(seconds, _DIRECT_SECONDS) if is_short else seconds
+            most = min(seconds, _DIRECT_WATCH_SECONDS) if is_short else seconds
             return self.direct.watch(prefix, after, most)
 
         message = StoreWatch(prefix, after, WATCH_SECONDS)
@@ -125,18 +129,18 @@
         if prefix in self.mirrored:
             first = await self.joint.wait(prefix, after)
         if first is not None:
-            self._came(True, message)
-        said = first or await self._ask_others(
-            message, WATCH_SECONDS + _ANSWER_SECONDS, watch_directly
+            self._set_relayed(True, message)
+        reply = first or await self._ask_others(
+            message, WATCH_SECONDS + _REPLY_TIMEOUT_SECONDS, watch_directly
         )
-        if not isinstance(said, StoreItems):
-            return said
-        if said.waits > after:
-            self.waiting.add(prefix)
-        elif not said.waits and prefix in self.waiting:
+        if not isinstance(reply, StoreItems):
+            return reply
+        if reply.waits > after:
+            self.prefixes_with_missing.add(prefix)
+        elif not reply.waits and prefix in self.prefixes_with_missing:
             return HistoryLost()
-        changes = [(item.key, item.value) for item in said.items]
-        return WatchEvents(changes, said.revision)
+        changes = [(item.key, item.value) for item in reply.items]
+        return WatchEvents(changes, reply.revision)
 
     async def _ask_others(
         self,
@@ -144,21 +148,21 @@
         seconds: float,
         ask_directly: Callable[[], Awaitable[_Direct]],
     ) -> StoreItems | _Direct:
-        """Asks the service itself, and then all members.
+        """Sends a request to the service itself, and then to all members.
 
         Args:
-            message: What members are asked.
-            seconds: How long a member may take.
-            ask_directly: Asks the service the same.
+            message: The request to members.
+            seconds: The timeout of a member.
+            ask_directly: Sends the same request to the service.
         """
-        said = await ask_directly()
-        if not isinstance(said, Unavailable):
-            self._came(False, message)
-            return said
+        direct_reply = await ask_directly()
+        if not isinstance(direct_reply, Unavailable):
+            self._set_relayed(False, message)
+            return direct_reply
         reply = await self._ask_all(message, seconds)
-        return said if reply is None else reply
+        return direct_reply if reply is None else reply
 
-    def _came(self, relayed: bool, message: msgspec.Struct) -> None:
+    def _set_relayed(self, relayed: bool, message: msgspec.Struct) -> None:
         if relayed and not self.relayed:
             log_event("store_relayed", kind=type(message).__name__)
         if self.relayed and not relayed:
@@ -166,22 +170,24 @@
         self.relayed = relayed
 
     async def _list_first(self, message: StoreList) -> StoreItems | None:
-        """Asks one member, if the prefix is read so."""
+        """Sends a list request to one member if the prefix is mirrored."""
         member = self._choose() if message.prefix in self.mirrored else None
         if member is None:
             return None
-        reply = await self.members.link(member).ask(message, _LIST_SECONDS)
+        reply = await self.members.link(member).ask(
+            message, _LIST_TIMEOUT_SECONDS
+        )
         if not isinstance(reply, StoreItems):
             return None
-        self._came(True, message)
+        self._set_relayed(True, message)
         return reply
 
     def _choose(self) -> Member | None:
-        """Chooses a member of this domain and others by turns.
+        """Alternates between a member of this domain and one of the others.
 
-        One that is cut off from the store, and does not know yet, has nothing
-        new to tell. The next one, a wait later, has. The first of each domain
-        is asked for signs of life most often.
+        A member that has lost the store and has not noticed yet reports no
+        changes. The next member, one wait later, does. The first member of
+        each domain is pinged most often.
         """
         if self.members is None:
             return None
@@ -191,31 +197,31 @@
         far = [self._first(domains[name]) for name in sorted(domains)]
         turns = (near, far) if self.turn % 2 else (far, near)
         chosen = [list(filter(None, firsts)) for firsts in turns]
-        there = chosen[0] or chosen[1]
-        return there[self.turn // 2 % len(there)] if there else None
+        usable = chosen[0] or chosen[1]
+        return usable[self.turn // 2 % len(usable)] if usable else None
 
     def _first(self, members: Iterable[Member]) -> Member | None:
-        """Returns the first member that answered when it was last asked."""
-        answering = (m for m in members if not self.members.link(m).failures)
-        return next(answering, None)
+        """Returns the first member that replied to its last request."""
+        responsive = (m for m in members if not self.members.link(m).failures)
+        return next(responsive, None)
 
     async def _ask_all(
         self, message: msgspec.Struct, seconds: float
     ) -> StoreItems | None:
-        """Asks all members at once and takes the first answer."""
+        """Sends a request to all members and returns the first reply."""
         if self.members is None or not self.members.known:
             return None
-        asks = [
+        requests = [
             asyncio.ensure_future(self.members.link(m).ask(message, seconds))
             for m in self.members.known.values()
         ]
         try:
-            for next_one in asyncio.as_completed(asks):
+            for next_one in asyncio.as_completed(requests):
                 reply = await next_one
                 if isinstance(reply, StoreItems):
-                    self._came(True, message)
+                    self._set_relayed(True, message)
                     return reply
         finally:
-            for ask in asks:
-                ask.cancel()
+            for request in requests:
+                request.cancel()
         return None
