--- a/libs/keeper/src/rattanmill_keeper/following.py
+++ b/libs/keeper/src/rattanmill_keeper/following.py
@@ -137,7 +137,7 @@
         if not others:
             return age > _LONE_INSTANCE_SECONDS
         reported = [self.progress.get(name, Progress()) for name in others]
-        # An unreachable member may be the only one with data that was lost here.
+        # Data lost here may be held by an unreachable member only.
         absent = set().union(*(each.absent for each in reported)) - set(others)
         return all(each.has_caught_up for each in reported) and not absent
 
--- a/tests/features/review.feature
+++ b/tests/features/review.feature
@@ -65,10 +65,10 @@
     So it grants alone what they have given away without it.
 
     Given storage instances "a, b, c"
-    When "c" is cut off from "a, b", and its registration has lapsed for long
+    When "c" is partitioned from "a, b", and its registration expired long ago
     And turns of a new program use up its budget at "a"
     And "c" is killed and starts again
-    And "c" is listed again while it is cut off
+    And "c" is listed again while it is partitioned
     Then the program's turns at "a, c" stay within its budget and one turn
 
   Scenario: A caller leaves while the list is read for others as well
@@ -100,6 +100,6 @@
     whose endpoints are, for one that may be cut off. One dead instance is no
     sign of that.
 
-    Given a front and 12 storage instances in 4 failure domains
-    When one of them dies, 200 times at moments of its own
+    Given a front end and 12 storage instances in 4 failure domains
+    When one of them dies, 200 times at random moments
     Then no domain was silent for as long as makes it suspect
--- a/tests/features/signs.feature
+++ b/tests/features/signs.feature
@@ -1,15 +1,15 @@
-Feature: Signs of life of storage instances
-  Fronts ask a few storage instances whether they are there. What a front
-  believes of one, or of a failure domain, must be as current as if it asked all.
+Feature: Pings of storage instances
+  Front ends ping a few storage instances. A front end's view of an instance, or
+  of a failure domain, must be as current as if it pinged all of them.
 
   Scenario Outline: Many storage instances
-    Each front and storage instance had five messages a second between them,
-    which took a third of what the storage instances did at all.
+    Each pair of a front end and a storage instance exchanged five messages a
+    second, which took a third of all work of the storage instances.
 
-    Given a front and <count> storage instances in <domains> failure domains
-    When it has asked for signs of life for 60 seconds
-    Then it asked at most 5 times a second and domain, and each other one at most twice a second
-    And it took no domain for silent and no storage instance for away
+    Given a front end and <count> storage instances in <domains> failure domains
+    When it has sent pings for 60 seconds
+    Then it sent at most 5 pings a second and domain, and each other instance got at most two a second
+    And it considered no domain silent and no storage instance unresponsive
 
     Examples:
       | count | domains |
@@ -18,25 +18,25 @@
       | 24    | 3       |
 
   Scenario: A storage instance dies
-    Given a front and 12 storage instances in 4 failure domains
-    When one of them dies, 50 times at moments of its own
-    Then it is taken for away within 1.2 seconds
-    And no domain was taken for silent
-
-  Scenario: A failure domain is cut off
-    Given a front and 12 storage instances in 4 failure domains
-    When one domain is cut off, 50 times at moments of its own
+    Given a front end and 12 storage instances in 4 failure domains
+    When one of them dies, 50 times at random moments
+    Then it is considered unresponsive within 1.2 seconds
+    And no domain was considered silent
+
+  Scenario: A failure domain is partitioned
+    Given a front end and 12 storage instances in 4 failure domains
+    When one domain is partitioned, 50 times at random moments
     Then the domain has been silent for 0.4 seconds within 0.7 seconds
-    And it is heard within 0.5 seconds of the end of the cut
+    And it replies within 0.5 seconds of the end of the partition
 
-  Scenario Outline: More storage instances than are asked again and again
-    With a message for each of them, a front at 24 sent 46 a second, and each
-    storage instance that was added cost all fronts.
+  Scenario Outline: More storage instances than are pinged regularly
+    With a ping to each of them, a front end with 24 of them sent 46 messages a
+    second, and each added storage instance cost all front ends.
 
-    Given a front and <count> storage instances in 3 failure domains
-    When it has asked for signs of life for 60 seconds
-    Then it asked at most 27 times a second
-    And it took no domain for silent and no storage instance for away
+    Given a front end and <count> storage instances in 3 failure domains
+    When it has sent pings for 60 seconds
+    Then it sent at most 27 pings a second
+    And it considered no domain silent and no storage instance unresponsive
 
     Examples:
       | count |
@@ -45,56 +45,57 @@
       | 24    |
       | 48    |
 
-  Scenario: A storage instance dies of which nothing was to be heard
-    It is not asked for signs of life. The first request that needs it must not
-    wait out its time there, nor the next ones.
+  Scenario: A storage instance that is not pinged dies
+    The first request that needs it must not wait for its full timeout, nor must
+    the next ones.
 
-    Given a front and 24 storage instances in 3 failure domains
+    Given a front end and 24 storage instances in 3 failure domains
     When one of them dies and is needed 2.0 seconds later, 50 times
-    Then the request has got on within 0.25 seconds
-    And it is still taken for away 10 seconds later
-    And no domain was taken for silent
-
-  Scenario: The first storage instance of a domain freezes among many
-    Given a front and 24 storage instances in 3 failure domains
-    When the first of a domain freezes, 50 times at moments of its own
-    Then it is taken for away within 1.2 seconds
-    And no domain was taken for silent
-
-  Scenario: All but one storage instance of a domain are cut off from a front
-    A part of a switch. The domain is there, and its endpoints are too.
-
-    Given a front and 24 storage instances in 3 failure domains
-    When all but one of a domain are cut off, 50 times at moments of its own
-    Then no domain was taken for silent
-
-  Scenario: A failure domain with many storage instances is cut off
-    Given a front and 24 storage instances in 3 failure domains
-    When one domain is cut off, 50 times at moments of its own
+    Then the request was given up within 0.25 seconds
+    And it is still considered unresponsive 10 seconds later
+    And no domain was considered silent
+
+  Scenario: The first of many storage instances of a domain freezes
+    Given a front end and 24 storage instances in 3 failure domains
+    When the first of a domain freezes, 50 times at random moments
+    Then it is considered unresponsive within 1.2 seconds
+    And no domain was considered silent
+
+  Scenario: All but one storage instance of a domain are partitioned from a front end
+    A part of a switch fails. The domain and its endpoints can still be reached.
+
+    Given a front end and 24 storage instances in 3 failure domains
+    When all but one of a domain are partitioned, 50 times at random moments
+    Then no domain was considered silent
+
+  Scenario: A failure domain with many storage instances is partitioned
+    Given a front end and 24 storage instances in 3 failure domains
+    When one domain is partitioned, 50 times at random moments
     Then the domain has been silent for 0.4 seconds within 0.7 seconds
-    And it is heard within 0.5 seconds of the end of the cut
+    And it replies within 0.5 seconds of the end of the partition
 
   Scenario: Requests are answered all the time
-    An answer is a sign of life as well. Crashes and changes of the list of
-    storage instances still have to be heard with signs of life.
+    A reply to a request proves that an instance is up, as a pong does. Crashes,
+    as well as changes of the list of storage instances, arrive with pongs only.
 
-    Given a front and 12 storage instances in 3 failure domains
-    When it has asked for signs of life for 60 seconds beside 60 requests a second
-    Then it asked the first of each domain at most 9 times a second together
-    And it was never without an answer to one for more than 0.3 seconds
-    And it took no domain for silent and no storage instance for away
+    Given a front end and 12 storage instances in 3 failure domains
+    When it has sent pings for 60 seconds beside 60 requests a second
+    Then it pinged the first of each domain at most 9 times a second in total
+    And it was never without a pong for more than 0.3 seconds
+    And it considered no domain silent and no storage instance unresponsive
 
-  Scenario: A failure domain is cut off while requests are answered
-    Given a front and 12 storage instances in 3 failure domains
+  Scenario: A failure domain is partitioned while requests are answered
+    Given a front end and 12 storage instances in 3 failure domains
     And it sends 60 requests a second
-    When one domain is cut off, 50 times at moments of its own
+    When one domain is partitioned, 50 times at random moments
     Then the domain has been silent for 0.4 seconds within 0.7 seconds
-    And it is heard within 0.5 seconds of the end of the cut
+    And it replies within 0.5 seconds of the end of the partition
 
-  Scenario: Fronts that ask different storage instances tell each other of crashes
-    Told to one storage instance of each domain, a crash stays unknown to fronts
-    that ask others, and the request that caused it goes on there.
+  Scenario: Front ends that ping different storage instances report crashes to each other
+    If a crash were reported to one storage instance of each domain only, front
+    ends that ping others would not learn of it, and the request that caused it
+    would go on there.
 
-    Given a front and 24 storage instances in 3 failure domains
-    When another front tells of a crash, 50 times at moments of its own
-    Then it has heard of the crash within 0.4 seconds
+    Given a front end and 24 storage instances in 3 failure domains
+    When another front end reports a crash, 50 times at random moments
+    Then it has received the crash within 0.4 seconds
--- a/tests/features/steps/following.py
+++ b/tests/features/steps/following.py
@@ -1,4 +1,4 @@
-"""Steps about what storage instances fetch of each other."""
+"""Steps about replication between storage instances."""
 
 from unittest import mock
 
@@ -8,48 +8,48 @@
 from rattanmill_keeper import Reserve, Reserved, following, journal
 from rattanmill_keeper.following import Follower
 from rattanmill_keeper.messages import KeptTurn, Open, Opened
-from support.keepers import run_in as network
+from support.keepers import run_in
 
 _BUDGET = 1_000_000
 _RETENTION_SECONDS = 60.0
 _TOKENS = 10
 _FETCHES = ("Follow", "FetchAccounts")
-_MOST_PAGES = 10
+_MAX_PAGES = 10
 _DOMAINS = 3
 
 
-async def follow_all(context, n):
-    """Lets all take in what is new at the others, once."""
+async def follow_all(context, network):
+    """Makes each instance fetch the changes of all others once."""
     if "following" not in context:
         context.following = {
-            name: Follower(keeper, n.members[name])
-            for name, keeper in n.keepers.items()
+            name: Follower(keeper, network.members[name])
+            for name, keeper in network.keepers.items()
         }
     for name, follower in context.following.items():
         follower.update_domain_peers()
-        for member in list(n.members[name].known.values()):
+        for member in list(network.members[name].known.values()):
             pages = 0
-            while member.name != name and pages < _MOST_PAGES:
+            while member.name != name and pages < _MAX_PAGES:
                 pages += 1
                 if not await follower.fetch_page(member):
                     break
 
 
-async def reserve(context, n):
-    """Reserves one turn more, through a front that knows the account."""
+async def reserve(context, network):
+    """Reserves another turn, through a front end that knows the account."""
     if "front" not in context:
-        context.front = n.front(context.near[0])
+        context.front = network.front(context.near[0])
         context.attempts = 0
     context.attempts += 1
     ask = Reserve("p", f"turn-{context.attempts}", _TOKENS, _BUDGET)
     reply = await context.front.permits.reserve(ask)
     assert isinstance(reply, Reserved), reply
     # The replies of the other holders.
-    await n.pass_time(0.01)
+    await network.pass_time(0.01)
 
 
-def fetched(n):
-    return sum(n.replied[kind] for kind in _FETCHES)
+def fetched(network):
+    return sum(network.replied[kind] for kind in _FETCHES)
 
 
 @when(
@@ -57,17 +57,17 @@
 )
 @when("it reserves {count:d} turns more, and all follow each other after each")
 def step_reserve(context, count):
-    async def go_on(n):
+    async def go_on(network):
         for _ in range(count):
-            await reserve(context, n)
-            before = fetched(n)
-            await follow_all(context, n)
-            taken = fetched(n)
-            await follow_all(context, n)
-            # Less what they fetch when nothing is new.
-            context.fetched = (taken - before) - (fetched(n) - taken)
+            await reserve(context, network)
+            before = fetched(network)
+            await follow_all(context, network)
+            after = fetched(network)
+            await follow_all(context, network)
+            # Minus the bytes fetched when there are no changes.
+            context.fetched = (after - before) - (fetched(network) - after)
 
-    network(context, go_on)
+    run_in(context, go_on)
 
 
 @then("its last turn made them fetch no more than {most:d} bytes")
@@ -83,42 +83,42 @@
     context.rank = context.scenario_stack.enter_context(
         mock.patch.object(following, "rank", wraps=following.rank)
     )
-    # Of this scenario's own, as names come again in others.
+    # Unique to this scenario, since others use the same names.
     chain = f"chain-{wall_seconds()}"
 
-    async def go_on(n):
-        front = n.front(context.near[0])
+    async def go_on(network):
+        front = network.front(context.near[0])
         for number in range(count):
             previous = f"t{number - 1}" if number else ""
             expires = wall_seconds() + _RETENTION_SECONDS
             kept = KeptTurn(f"t{number}", previous, b"text", expires, chain)
             assert (await front.lookup.keep(kept)).enough
-            await n.pass_time(0.01)
-            await follow_all(context, n)
+            await network.pass_time(0.01)
+            await follow_all(context, network)
 
-    network(context, go_on)
+    run_in(context, go_on)
 
 
-@then("who is to hold it was worked out once for each failure domain")
-def step_worked_out(context):
+@then("the holder was computed once for each failure domain")
+def step_computed(context):
     assert context.rank.call_count == _DOMAINS, context.rank.call_count
 
 
 @when("{count:d} programs have begun, and the disk of one instance is lost")
-def step_lose(context, count):
+def step_lose_disk(context, count):
     opener, _, lost = context.network.names
     context.programs = {f"p{number}" for number in range(count)}
 
-    async def lose(n):
+    async def lose_disk(network):
         for program in context.programs:
-            opened = await n.keepers[opener].open(
+            opened = await network.keepers[opener].open(
                 Open(program, _BUDGET, _TOKENS)
             )
             assert isinstance(opened, Opened), opened
-        await n.wipe(lost)
-        await n.start(lost)
+        await network.wipe(lost)
+        await network.start(lost)
 
-    network(context, lose)
+    run_in(context, lose_disk)
 
 
 @when("it has followed the others")
@@ -127,12 +127,12 @@
     context.sync = context.scenario_stack.enter_context(
         mock.patch.object(journal, "_sync", wraps=journal._sync)
     )
-    network(context, lambda n: n.follow(lost))
+    run_in(context, lambda network: network.follow(lost))
 
 
 @then(
-    "it knows where all accounts are, and has written no more than {most:d}"
-    " times"
+    "it knows the homes of all accounts, and has written no more than"
+    " {most:d} times"
 )
 def step_written(context, most):
     ledger = context.network.keepers[context.network.names[-1]].ledger
@@ -144,33 +144,33 @@
     return context.front.permits.holders_of("p")
 
 
-@when("a holder is cut off while it reserves {count:d} turns more")
-def step_cut(context, count):
-    async def go_on(n):
-        away = holders(context)[-1]
-        others = [name for name in n.names if name != away]
-        n.cuts |= {frozenset((away, other)) for other in others}
+@when("a holder is partitioned while it reserves {count:d} turns more")
+def step_partition(context, count):
+    async def go_on(network):
+        partitioned = holders(context)[-1]
+        others = [name for name in network.names if name != partitioned]
+        network.cuts |= {frozenset((partitioned, other)) for other in others}
         for _ in range(count):
-            await reserve(context, n)
+            await reserve(context, network)
 
-    network(context, go_on)
+    run_in(context, go_on)
 
 
 @when("all reach each other and follow each other")
 def step_reach(context):
     context.network.cuts.clear()
     context.network.lose_kind = ""
-    network(context, lambda n: follow_all(context, n))
+    run_in(context, lambda network: follow_all(context, network))
 
 
 @when(
-    "all reach each other, but accounts are not handed over, and follow each"
-    " other"
+    "all reach each other, but replies with accounts are lost, and follow"
+    " each other"
 )
 def step_reach_in_part(context):
     context.network.cuts.clear()
     context.network.lose_kind = "FetchAccounts"
-    network(context, lambda n: follow_all(context, n))
+    run_in(context, lambda network: follow_all(context, network))
 
 
 @then("all holders know the same uses")
@@ -184,18 +184,18 @@
 
 
 @when("one holder knows of {tokens:d} tokens that were given back")
-def step_given(context, tokens):
+def step_given_back(context, tokens):
     name = holders(context)[0]
     context.network.keepers[name].ledger.accounts["p"].given = tokens
 
 
 @when("the program has another turn, and all follow each other")
 def step_another(context):
-    async def go_on(n):
-        await reserve(context, n)
-        await follow_all(context, n)
+    async def go_on(network):
+        await reserve(context, network)
+        await follow_all(context, network)
 
-    network(context, go_on)
+    run_in(context, go_on)
 
 
 @then("all holders know of the {tokens:d} tokens")
--- a/tests/features/steps/keeping.py
+++ b/tests/features/steps/keeping.py
@@ -37,13 +37,13 @@
 
 @when('"{name}" is killed and the store is away')
 def step_kill_store(context, name):
-    context.network.kv.away = True
+    context.network.kv.is_unavailable = True
     network(context, lambda n: n.kill(name))
 
 
 @when('"{name}" is cut off from "{others}" and the store is away')
 def step_cut_off(context, name, others):
-    context.network.kv.away = True
+    context.network.kv.is_unavailable = True
     for other in others.split(", "):
         context.network.cuts.add(frozenset((name, other)))
 
--- a/tests/features/steps/keeping_cut.py
+++ b/tests/features/steps/keeping_cut.py
@@ -7,7 +7,7 @@
 from rattanmill_core import Metrics
 from rattanmill_keeper import KeeperClient, Member, Members
 from rattanmill_keeper.messages import Reserve, Unsure
-from support.keepers import AwayKv
+from support.keepers import UnavailableKv
 from support.virtual import run_virtually
 
 _DOMAINS = ("east", "west", "north")
@@ -47,7 +47,7 @@
 
 @given('a front of "{domain}" that hears only the storage instance of "{near}"')
 def step_front(context, domain, near):
-    context.kv = AwayKv()
+    context.kv = UnavailableKv()
 
     def make():
         members = CutMembers(context.kv, near)
@@ -58,12 +58,12 @@
 
 @when("the store does not answer")
 def step_store_away(context):
-    context.kv.away = True
+    context.kv.is_unavailable = True
 
 
 @when("the store answers")
 def step_store_there(context):
-    context.kv.away = False
+    context.kv.is_unavailable = False
 
 
 async def after_a_while(context):
--- a/tests/features/steps/lookups.py
+++ b/tests/features/steps/lookups.py
@@ -59,7 +59,7 @@
 
 @when("the store of these storage instances is away")
 def step_store_away(context):
-    context.network.kv.away = True
+    context.network.kv.is_unavailable = True
 
 
 @when("the store forgets its history")
--- a/tests/features/steps/membership.py
+++ b/tests/features/steps/membership.py
@@ -8,7 +8,7 @@
 from rattanmill_keeper import Member, Members
 from rattanmill_keeper.members import PREFIX
 from rattanmill_platform import Unavailable, WatchEvents
-from support.keepers import run_in as network
+from support.keepers import run_in
 from support.memory import MemoryKv
 from support.virtual import run_virtually
 
@@ -16,50 +16,54 @@
 
 
 class WatchedKv(MemoryKv):
-    """A store whose watches may be silent.
+    """A store whose watches may stall.
 
     Attributes:
-        tells: Whether watches hear of changes.
-        is_away: Whether calls are answered at all.
-        asked: Lists read.
+        reports_changes: Whether watches report changes.
+        is_unavailable: Whether calls fail.
+        reads: Number of lists read.
     """
 
-    def __init__(self, tells: bool) -> None:
+    def __init__(self, reports_changes: bool) -> None:
         super().__init__()
-        self.tells = tells
-        self.is_away = False
-        self.asked = 0
+        self.reports_changes = reports_changes
+        self.is_unavailable = False
+        self.reads = 0
 
     async def list(self, prefix: str):
         """Reads all keys under a prefix."""
-        self.asked += 1
-        if self.is_away:
-            return Unavailable("away")
+        self.reads += 1
+        if self.is_unavailable:
+            return Unavailable("unreachable")
         return await super().list(prefix)
 
     async def watch(self, prefix: str, after: int, seconds: float):
-        """Waits for changes, or for nothing at all."""
+        """Waits for changes; if watches stall, until the timeout."""
         waited = 0.0
         while waited < seconds:
             await asyncio.sleep(_PAUSE_SECONDS)
             waited += _PAUSE_SECONDS
             events = await super().watch(prefix, after, seconds)
-            if self.tells and events.changes:
+            if self.reports_changes and events.changes:
                 return events
-        return WatchEvents([], after) if self.tells else Unavailable("silent")
+        return (
+            WatchEvents([], after)
+            if self.reports_changes
+            else Unavailable("no reply")
+        )
 
 
-@given("the list of storage instances is followed by a watch")
-def step_follow(context):
-    context.tells = True
-    context.told = 0.0
-    context.is_away = False
+@given("the list of storage instances is watched")
+def step_watch(context):
+    context.reports_changes = True
+    context.reply_seconds = 0.0
+    context.is_unavailable = False
 
 
-@given("the list of storage instances is followed by a watch that goes silent")
-def step_follow_silent(context):
-    step_follow(context)
-    context.tells = False
+@given("the list of storage instances is watched, but the watch stalls")
+def step_watch_stalled(context):
+    step_watch(context)
+    context.reports_changes = False
 
 
 @when('"{name}" registers')
@@ -67,34 +71,34 @@
     context.name = name
 
 
-@when("the store does not answer this instance any more")
-def step_away(context):
-    context.is_away = True
+@when("the store does not reply to this instance any more")
+def step_unavailable(context):
+    context.is_unavailable = True
 
 
 @when(
-    "a storage instance that has heard of it answers every {seconds:g} seconds"
+    "a storage instance that knows the change replies every {seconds:g} seconds"
 )
-def step_told(context, seconds):
-    context.told = seconds
+def step_replies(context, seconds):
+    context.reply_seconds = seconds
 
 
 def play(context, seconds):
-    """Returns who is known some time after the registration."""
+    """Returns the names known some time after the registration."""
 
     async def follow():
-        kv = context.kv = WatchedKv(context.tells)
+        kv = context.kv = WatchedKv(context.reports_changes)
         async with Members(kv) as members:
             await asyncio.sleep(1.0)
             member = Member(context.name, "east", "east:1", "run")
             kv.put(PREFIX + context.name, msgspec.json.encode(member))
-            kv.is_away = context.is_away
-            kv.asked = 0
+            kv.is_unavailable = context.is_unavailable
+            kv.reads = 0
             left = seconds
             while left > 0:
-                if context.told:
+                if context.reply_seconds:
                     members.expect_revision(kv.revision)
-                pause = min(left, context.told or left)
+                pause = min(left, context.reply_seconds or left)
                 await asyncio.sleep(pause)
                 left -= pause
             return set(members.known)
@@ -112,51 +116,48 @@
     assert name not in play(context, seconds)
 
 
-@then("the store was asked once for it")
-def step_asked_once(context):
-    assert context.kv.asked == 1, context.kv.asked
+@then("the store was read once for it")
+def step_read_once(context):
+    assert context.kv.reads == 1, context.kv.reads
 
 
-@then("the store was not asked for it")
-def step_not_asked(context):
-    assert context.kv.asked == 0, context.kv.asked
+@then("the store was not read for it")
+def step_not_read(context):
+    assert context.kv.reads == 0, context.kv.reads
 
 
-@then("the store was asked at most {count:d} times for it")
-def step_asked_at_most(context, count):
-    assert 2 <= context.kv.asked <= count, context.kv.asked
+@then("the store was read at most {count:d} times for it")
+def step_read_at_most(context, count):
+    assert 2 <= context.kv.reads <= count, context.kv.reads
 
 
-@when('"{name}" registers and only "{other}" hears of it')
+@when('"{name}" registers and only "{other}" learns of it')
 def step_register_at_one(context, name, other):
-    n = context.network
-    n.register(name)
-    members = n.members[other]
-    members.watch.revision = members.watch.changed = n.kv.revision
-    members._on_written(PREFIX + name, n.kv.items[PREFIX + name][0])
+    network = context.network
+    network.register(name)
+    members = network.members[other]
+    members.watch.revision = members.watch.changed = network.kv.revision
+    members._on_written(PREFIX + name, network.kv.items[PREFIX + name][0])
 
 
-@then(
-    'a front beside "{name}" that asks "{other}" for a sign of life knows'
-    ' "{new}"'
-)
+@then('a front end beside "{name}" that pings "{other}" knows "{new}"')
 def step_front_knows(context, name, other, new):
-    async def ask(n):
-        front = n.front(name)
+    async def ping(network):
+        front = network.front(name)
         assert new not in front.reach.members.known
         await front.reach._ping(front.reach.members.known[other])
-        await n.pass_time(0.3)
+        await network.pass_time(0.3)
         return front.reach.members.known
 
-    assert new in network(context, ask)
+    assert new in run_in(context, ping)
 
 
 @then('"{name}", which follows the others, knows "{new}"')
 def step_keeper_knows(context, name, new):
-    async def follow(n):
-        assert new not in n.members[name].known
-        await n.follow(name)
-        await n.pass_time(0.3)
-        return n.members[name].known
+    async def follow(network):
+        assert new not in network.members[name].known
+        await network.follow(name)
+        await network.pass_time(0.3)
+        return network.members[name].known
 
-    assert new in network(context, follow)
+    assert new in run_in(context, follow)
--- a/tests/features/steps/mirror.py
+++ b/tests/features/steps/mirror.py
@@ -1,4 +1,4 @@
-"""Steps about the store as storage instances pass it on, in virtual time."""
+"""Steps about reading the store through storage instances, in virtual time."""
 
 import asyncio
 import contextlib
@@ -26,66 +26,69 @@
 from support.virtual import run_virtually
 
 _PREFIXES = ("config/", "servers/")
-# As fronts ask for signs of life.
+# As front ends ping.
 _PING_SECONDS = 0.2
 _PONG_SECONDS = 0.4
 _LOOK_SECONDS = 0.01
 
 
-class Passing:
-    """A storage instance's link: tells of changes, unless it is stale.
+class RelayingLink:
+    """The link to a storage instance that reports changes unless it is stale.
 
     Attributes:
-        is_frozen: Whether it answers nothing.
-        asked: Number of waits that it was asked for.
+        is_frozen: Whether it does not reply.
+        watch_requests: Number of watch requests received.
         failures: As of ``RequestLink``.
     """
 
     def __init__(self, is_stale):
         self.is_stale = is_stale
         self.is_frozen = False
-        self.asked = 0
+        self.watch_requests = 0
         self.failures = 0
         self.revisions = dict.fromkeys(_PREFIXES, 1)
 
     async def ping_forever(self):
-        """Asks for signs of life, as a front does."""
+        """Sends pings, as a front end does."""
         pings = set()
         while True:
             pings.add(asyncio.create_task(self.ask(Ping(), _PONG_SECONDS)))
             await asyncio.sleep(_PING_SECONDS)
 
     async def ask(self, message, seconds):
-        """Answers a front, or nothing while it is frozen."""
-        said = await self.answer(message)
+        """Replies to a front end; None after the timeout while it is frozen."""
+        reply = await self.answer(message)
         if self.is_frozen:
             await asyncio.sleep(seconds)
             self.failures += 1
             return None
-        return said
+        return reply
 
     async def answer(self, message):
-        """Returns an answer, after a wait if one is asked for."""
+        """Returns the reply, for a watch request after the wait."""
         wait = getattr(message, "seconds", None)
         if wait is None:
             return StoreItems([], 1)
-        self.asked += 1
+        self.watch_requests += 1
         asked = {message.prefix: message.after, **message.others}
-        if self.has_nothing(asked):
+        if self.has_no_changes(asked):
             await asyncio.sleep(wait)
-        told = {prefix: self.tell(prefix, at) for prefix, at in asked.items()}
-        first = told.pop(message.prefix)
-        first.others = told
+        replies = {
+            prefix: self.changes_after(prefix, at)
+            for prefix, at in asked.items()
+        }
+        first = replies.pop(message.prefix)
+        first.others = replies
         return first
 
-    def has_nothing(self, asked):
-        """Whether it would say that nothing is new."""
+    def has_no_changes(self, asked):
+        """Whether it has no changes to report."""
         return self.is_stale or not any(
             after < self.revisions[prefix] for prefix, after in asked.items()
         )
 
-    def tell(self, prefix, after):
-        """Returns what it knows of a prefix."""
+    def changes_after(self, prefix, after):
+        """Returns the changes of a prefix that it knows."""
         revision = self.revisions[prefix]
         if self.is_stale or after >= revision:
             return StoreItems([], after)
@@ -94,71 +97,71 @@
         )
 
 
-class PassingMembers(Members):
-    """Storage instances that pass the store on."""
+class RelayingMembers(Members):
+    """Storage instances that relay the store."""
 
     def __init__(self, domains, stale):
         super().__init__(MemoryKv())
         self.known = {d: Member(d, d, f"{d}:1", "run") for d in domains}
-        self.links = {d: Passing(d == stale) for d in domains}
+        self.links = {d: RelayingLink(d == stale) for d in domains}
 
     def link(self, member):
-        """Returns the link to one."""
+        """Returns the link to a member."""
         return self.links[member.name]
 
 
 @given('storage instances of "{domains}" of which that of "{stale}" is stale')
 def step_members(context, domains, stale):
-    context.make = lambda: PassingMembers(domains.split(", "), stale)
+    context.make = lambda: RelayingMembers(domains.split(", "), stale)
 
 
 @when(
-    'a front of "{domain}" follows two prefixes in step and only "{changed}"'
-    " changes"
+    'a front end of "{domain}" watches two prefixes in step and only'
+    ' "{changed}" changes'
 )
-def step_follow(context, domain, changed):
-    async def follow():
+def step_watch_in_step(context, domain, changed):
+    async def watch():
         kv = RelayedKv(None, domain, _PREFIXES)
         kv.members = context.make()
         now = asyncio.get_running_loop().time
-        heard = {}
+        received_at = {}
         began = now()
         async with (
-            _watch(kv, _PREFIXES[0], heard, now),
-            _watch(kv, _PREFIXES[1], heard, now),
+            _watch(kv, _PREFIXES[0], received_at, now),
+            _watch(kv, _PREFIXES[1], received_at, now),
         ):
             await asyncio.sleep(1.0)
             began = now()
             for link in kv.members.links.values():
                 link.revisions[changed] = 2
             await asyncio.sleep(5.0)
-        return {prefix: at - began for prefix, at in heard.items()}
+        return {prefix: at - began for prefix, at in received_at.items()}
 
-    context.heard = run_virtually(follow())
+    context.received_at = run_virtually(watch())
 
 
-def _watch(kv, prefix, heard, now):
+def _watch(kv, prefix, received_at, now):
     return PrefixWatch(
         kv,
         prefix,
         2.5,
-        lambda key, value: heard.setdefault(prefix, now()),
+        lambda key, value: received_at.setdefault(prefix, now()),
         lambda key: None,
     )
 
 
-@then('it has heard of the change of "{prefix}" within {most:f} seconds')
-def step_heard(context, prefix, most):
-    assert prefix in context.heard, context.heard
-    assert context.heard[prefix] <= most, context.heard
+@then('it has received the change of "{prefix}" within {most:f} seconds')
+def step_received(context, prefix, most):
+    assert prefix in context.received_at, context.received_at
+    assert context.received_at[prefix] <= most, context.received_at
 
 
 @when(
-    'a front of "{domain}" follows two prefixes for {seconds:d} seconds and'
-    " none changes"
+    'a front end of "{domain}" watches two prefixes for {seconds:d} seconds'
+    " and none changes"
 )
-def step_calm(context, domain, seconds):
-    async def follow():
+def step_unchanged(context, domain, seconds):
+    async def watch():
         kv = RelayedKv(None, domain, _PREFIXES)
         kv.members = context.make()
         now = asyncio.get_running_loop().time
@@ -167,37 +170,37 @@
             _watch(kv, _PREFIXES[1], {}, now),
         ):
             await asyncio.sleep(seconds)
-        return sum(link.asked for link in kv.members.links.values())
+        return sum(link.watch_requests for link in kv.members.links.values())
 
-    context.rate = run_virtually(follow()) / seconds
+    context.rate = run_virtually(watch()) / seconds
 
 
-@then("it has asked at most {most:d} times a second")
-def step_asked(context, most):
+@then("it has sent at most {most:d} watch requests a second")
+def step_rate(context, most):
     assert context.rate <= most, context.rate
 
 
 @when(
     'that of "{domain}" freezes and "{changed}" changes, {plays:d} times at'
-    " moments of its own"
+    " random moments"
 )
 def step_freeze(context, domain, changed, plays):
     context.plays = [(seed, domain, changed) for seed in range(plays)]
 
 
 async def _play_freeze(context, domain, seed, frozen, changed):
-    """Returns how long it took until the change was heard of, seconds."""
+    """Returns the seconds until the change was received."""
     random.seed(seed)
     kv = RelayedKv(Outage(), domain, _PREFIXES)
-    kv.direct.away = True
+    kv.direct.is_unavailable = True
     kv.members = context.make()
     links = kv.members.links
     pings = [asyncio.create_task(li.ping_forever()) for li in links.values()]
     now = asyncio.get_running_loop().time
-    heard = {}
+    received_at = {}
     async with (
-        _watch(kv, _PREFIXES[0], heard, now),
-        _watch(kv, _PREFIXES[1], heard, now),
+        _watch(kv, _PREFIXES[0], received_at, now),
+        _watch(kv, _PREFIXES[1], received_at, now),
     ):
         await asyncio.sleep(1.0 + random.random())
         began = now()
@@ -207,24 +210,26 @@
         await asyncio.sleep(5.0)
     for ping in pings:
         ping.cancel()
-    return heard[changed] - began
+    return received_at[changed] - began
 
 
-@then('a front of "{domain}" has heard of each change within {most:f} seconds')
-def step_heard_each(context, domain, most):
+@then(
+    'a front end of "{domain}" has received each change within {most:f} seconds'
+)
+def step_received_each(context, domain, most):
     took = [
         run_virtually(_play_freeze(context, domain, *play))
         for play in context.plays
     ]
-    print("heard after", sorted(round(each, 2) for each in took))
+    print("received after", sorted(round(each, 2) for each in took))
     assert max(took) <= most, sorted(took)
 
 
 class WaitingKv(MemoryKv):
-    """Its watches wait for changes."""
+    """A store whose watches wait for changes."""
 
     async def watch(self, prefix, after, seconds):
-        """Returns changes once there are any, or none when time is over."""
+        """Returns changes once there are any, or none after the timeout."""
         for _ in range(round(seconds / _LOOK_SECONDS)):
             events = await super().watch(prefix, after, seconds)
             if events.changes:
@@ -234,7 +239,7 @@
 
 
 class MirrorOnly(Members):
-    """The only storage instance that a front knows, and its link."""
+    """The only storage instance that a front end knows, and its link."""
 
     failures = 0
 
@@ -248,13 +253,13 @@
         return self
 
     async def ask(self, message, seconds):
-        """Answers a front."""
+        """Replies to a front end."""
         return await self.mirrors.serve(message)
 
 
 @contextlib.asynccontextmanager
-async def _follow_at(mirrors):
-    """Lets a storage instance follow both prefixes, as others have asked."""
+async def _watch_prefixes_at(mirrors):
+    """Makes a storage instance watch both prefixes, as for other front ends."""
     for _ in range(2):
         for prefix in _PREFIXES:
             await mirrors.serve(StoreList(prefix))
@@ -262,105 +267,105 @@
     yield
 
 
-@given("a front that follows two prefixes at one storage instance")
-def step_joint(context):
+@given("a front end that watches two prefixes through one storage instance")
+def step_shared_watch(context):
     context.store = WaitingKv()
 
 
-@when('"{changed}" changes {times:d} times at moments of its own')
+@when('"{changed}" changes {times:d} times at random moments')
 def step_change(context, changed, times):
     async def play():
         random.seed(times)
         kv = RelayedKv(context.store, "east", _PREFIXES)
         kv.members = MirrorOnly(context.store)
         now = asyncio.get_running_loop().time
-        heard = {}
+        received_at = {}
         took = []
         async with (
             kv.members.mirrors,
-            _follow_at(kv.members.mirrors),
-            _watch(kv, _PREFIXES[0], heard, now),
-            _watch(kv, _PREFIXES[1], heard, now),
+            _watch_prefixes_at(kv.members.mirrors),
+            _watch(kv, _PREFIXES[0], received_at, now),
+            _watch(kv, _PREFIXES[1], received_at, now),
         ):
             await asyncio.sleep(3.0)
             assert kv.relayed
             for number in range(times):
                 await asyncio.sleep(0.6 + random.random())
-                heard.clear()
+                received_at.clear()
                 began = now()
                 await context.store.write(f"{changed}{number}", b"new", 0)
                 await asyncio.sleep(2.0)
-                took.append(heard[changed] - began)
+                took.append(received_at[changed] - began)
         return took
 
     context.took = run_virtually(play())
 
 
-@then("it hears of each change within {most:f} seconds")
-def step_hears(context, most):
+@then("it receives each change within {most:f} seconds")
+def step_receives(context, most):
     assert max(context.took) <= most, context.took
 
 
 class Outage:
-    """A store with one entry, which is away and comes back without it."""
+    """A store that has an entry before an outage and none after it."""
 
     def __init__(self):
         self.entries = [Entry("servers/one", b"there", 1)]
         self.revision = 1
-        self.away = False
+        self.is_unavailable = False
 
     async def list(self, prefix):
-        """Reads all."""
-        if self.away:
-            return Unavailable("away")
+        """Reads all entries."""
+        if self.is_unavailable:
+            return Unavailable("unreachable")
         return Range(list(self.entries), self.revision)
 
     async def watch(self, prefix, after, seconds):
-        """Waits, or fails while it is away."""
+        """Waits until the timeout, or fails during the outage."""
         for _ in range(10):
-            if self.away:
-                return Unavailable("away")
+            if self.is_unavailable:
+                return Unavailable("unreachable")
             await asyncio.sleep(seconds / 10)
         return WatchEvents([], self.revision)
 
 
-@given('a storage instance that follows "servers/" with an entry')
+@given('a storage instance that watches "servers/" with an entry')
 def step_mirror(context):
     context.store = Outage()
 
 
 @when(
-    "the store was away for {seconds:d} seconds and the entry is missing after"
-    " it"
+    "the store was unreachable for {seconds:d} seconds and the entry is"
+    " missing after it"
 )
-def step_away(context, seconds):
+def step_outage(context, seconds):
     async def play():
         store = context.store
         mirror = Mirror(store, "servers/")
         now = asyncio.get_running_loop().time
         async with mirror.watch:
             await asyncio.sleep(1.0)
-            store.away = True
+            store.is_unavailable = True
             await asyncio.sleep(seconds)
             store.entries.clear()
             store.revision = 5
-            store.away = False
+            store.is_unavailable = False
             for _ in range(1000):
                 if not isinstance(await mirror.wait(1, 0.01), Unsure):
                     break
                 await asyncio.sleep(0.01)
             began = now()
             while True:
-                said = await mirror.wait(1, 10.0)
-                if said.items:
-                    return now() - began, said.items[0].value
+                reply = await mirror.wait(1, 10.0)
+                if reply.items:
+                    return now() - began, reply.items[0].value
 
     context.removed = run_virtually(play())
 
 
 @then(
-    "a front that asks hears nothing for {least:f} seconds, and then of its"
-    " removal"
+    "a front end that watches receives nothing for {least:f} seconds, and"
+    " then its removal"
 )
 def step_removed(context, least):
     after, value = context.removed
--- a/tests/features/steps/views.py
+++ b/tests/features/steps/views.py
@@ -1,4 +1,4 @@
-"""Steps about what is concluded from an old or partial view."""
+"""Steps about decisions based on a stale or partial view."""
 
 import asyncio
 import random
@@ -22,25 +22,26 @@
 
 _LOOK_SECONDS = 0.05
 _LATE_SECONDS = 0.9
-# Pauses are drawn; who reads the store first after an outage depends on them.
+# Pauses are random; which process reads the store first after an outage depends
+# on them.
 _SEEDS = 30
 
 
 class WatchedStore:
-    """The platform's store with its history; can be away.
+    """The platform store with its history; can be unavailable.
 
     Attributes:
         values: Values by key.
         events: All changes, as revision, key and value.
-        away: Whether nobody gets an answer.
+        is_unavailable: Whether all calls fail.
     """
 
     def __init__(self):
         self.values = {}
         self.events = []
         self.revision = 1
-        self.away = False
-        self.news = asyncio.Event()
+        self.is_unavailable = False
+        self.change_event = asyncio.Event()
 
     def put(self, key, value):
         """Writes or, with None, removes a key."""
@@ -49,21 +50,21 @@
         self.values[key] = value
         if value is None:
             del self.values[key]
-        self.news.set()
-        self.news = asyncio.Event()
+        self.change_event.set()
+        self.change_event = asyncio.Event()
 
     async def list(self, prefix):
-        """Reads all."""
-        if self.away:
-            return Unavailable("away")
+        """Reads all keys."""
+        if self.is_unavailable:
+            return Unavailable("unreachable")
         found = [Entry(key, v, 0) for key, v in self.values.items()]
         return Range(found, self.revision)
 
     async def watch(self, prefix, after, seconds):
         """Waits for changes after a revision."""
         for _ in range(round(seconds / _LOOK_SECONDS)):
-            if self.away:
-                return Unavailable("away")
+            if self.is_unavailable:
+                return Unavailable("unreachable")
             found = [(k, v) for at, k, v in self.events if at > after]
             if found:
                 return WatchEvents(found, self.revision)
@@ -72,21 +73,21 @@
 
 
 class LateStore:
-    """The store for one that hears of changes later than others."""
+    """The store for a process that receives changes later than others."""
 
     def __init__(self, store):
         self.list = store.list
         self.store = store
 
     async def watch(self, prefix, after, seconds):
-        """Returns changes some time after they were made."""
+        """Returns changes with a delay."""
         events = await self.store.watch(prefix, after, seconds)
         await asyncio.sleep(_LATE_SECONDS)
         return events
 
 
 class MirrorLink:
-    """Asks a storage instance what it knows of the store."""
+    """A link to a storage instance that mirrors the store."""
 
     failures = 0
 
@@ -94,12 +95,12 @@
         self.mirrors = Mirrors(kv)
 
     async def ask(self, message, seconds):
-        """Returns its answer."""
+        """Returns the reply."""
         return await self.mirrors.serve(message)
 
 
 class MirrorMembers(Members):
-    """Storage instances that pass the store on."""
+    """Storage instances that relay the store; the last one is late."""
 
     def __init__(self, kv, names):
         super().__init__(kv)
@@ -108,11 +109,13 @@
         self.links[names[-1]] = MirrorLink(LateStore(kv))
 
     def link(self, member):
-        """Returns the link to one."""
+        """Returns the link to a member."""
         return self.links[member.name]
 
 
-@given('a front that follows "{prefix}" through storage instances "{names}"')
+@given(
+    'a front end that watches "{prefix}" through storage instances "{names}"'
+)
 def step_front(context, prefix, names):
     context.prefix = prefix
     context.names = names.split(", ")
@@ -120,16 +123,16 @@
 
 
 @when(
-    "the store was away for {seconds:d} seconds and the entry of"
+    "the store was unreachable for {seconds:d} seconds and the entry of"
     ' "{name}" is missing after it'
 )
-def step_away(context, seconds, name):
+def step_outage(context, seconds, name):
     context.away_seconds = seconds
     context.missing = context.prefix + name
 
 
 @when('"{name}" registers again {seconds:f} seconds after its return')
-def step_again(context, name, seconds):
+def step_register_again(context, name, seconds):
     context.register_again = (context.prefix + name, seconds)
 
 
@@ -140,7 +143,7 @@
 
 
 async def _play(context, seconds):
-    """Returns what the front knows after each moment since the return."""
+    """Returns what the front end knows at times after the store's return."""
     store = WatchedStore()
     store.put(context.prefix + "one", b"one")
     store.put(context.prefix + "two", b"two")
@@ -160,19 +163,19 @@
     found = []
     async with watch:
         await asyncio.sleep(2.0)
-        store.away = True
+        store.is_unavailable = True
         await asyncio.sleep(context.away_seconds)
         store.put(context.missing, None)
-        # Nobody can tell this removal from an entry that lapsed meanwhile:
-        # the history is gone as well.
+        # Without its history, this removal looks like an entry that expired
+        # during the outage.
         store.events.clear()
-        store.away = False
+        store.is_unavailable = False
         back = now()
-        beat = 0
+        tick = 0
         while now() - back < seconds:
             await asyncio.sleep(_LOOK_SECONDS)
-            beat += 1
-            if beat % 8 == 0:
+            tick += 1
+            if tick % 8 == 0:
                 store.put(context.prefix + "two", b"two")
             if again and now() - back >= again[1]:
                 store.put(again[0], b"again")
@@ -184,26 +187,26 @@
 
 
 def plays(context, seconds):
-    """Yields what fronts know in several plays, by time since the return."""
+    """Yields what front ends know in several runs, by time since the return."""
     for seed in range(_SEEDS):
         random.seed(seed)
         yield seed, run_virtually(_play(context, seconds))
 
 
-@then('{seconds:f} seconds after its return the front still knows "{name}"')
+@then('{seconds:f} seconds after its return the front end still knows "{name}"')
 def step_still(context, seconds, name):
     for seed, found in plays(context, seconds):
         assert name in found[-1][1], (seed, found[-1])
 
 
-@then('{seconds:f} seconds after its return the front knows only "{name}"')
+@then('{seconds:f} seconds after its return the front end knows only "{name}"')
 def step_only(context, seconds, name):
     for seed, found in plays(context, seconds):
         assert found[-1][1] == {name}, (seed, found[-1])
 
 
 @then(
-    "from {first:f} to {last:f} seconds after its return the front knows"
+    "from {first:f} to {last:f} seconds after its return the front end knows"
     ' "{names}"'
 )
 def step_from_to(context, first, last, names):
@@ -217,23 +220,24 @@
 
 
 class CutDomain:
-    """A front's view of a domain that is cut off.
+    """A front end's view of a domain that is cut off.
 
     Attributes:
-        silences: What is heard of storage instances that are listed.
-        reached: Whether a connection attempt succeeds.
+        silences: Seconds without a reply of the listed storage instances, by
+            domain.
+        is_reachable: Whether a connection attempt succeeds.
     """
 
     def __init__(self, name):
         self.name = name
         self.silences = {name: 10.0}
-        self.reached = False
+        self.is_reachable = False
 
     async def play(self, phases):
-        """Plays phases of changes and seconds; returns what is cut then."""
+        """Runs phases of changes and seconds; returns the domains cut off."""
 
         async def try_domain(domain):
-            return self.reached
+            return self.is_reachable
 
         domains = Domains("east", lambda: self.silences, try_domain)
         watch = asyncio.create_task(domains.watch_for_ever())
@@ -246,7 +250,7 @@
         return domains.cut
 
 
-@given('a front that has taken "{name}" for cut off')
+@given('a front end that considers "{name}" cut off')
 def step_has_cut(context, name):
     context.domain = CutDomain(name)
     context.phases = []
@@ -266,17 +270,17 @@
 @when('endpoints of "{name}" can be reached again for {seconds:d} second')
 def step_reached(context, name, seconds):
     def reach():
-        context.domain.reached = True
+        context.domain.is_reachable = True
 
     context.phases.append((reach, seconds))
 
 
-@then('"{name}" is still taken for cut off')
+@then('"{name}" is still considered cut off')
 def step_still_cut(context, name):
     assert name in run_virtually(context.domain.play(context.phases))
     context.domain = CutDomain(name)
 
 
-@then('"{name}" is not taken for cut off')
+@then('"{name}" is not considered cut off')
 def step_not_cut(context, name):
     assert name not in run_virtually(context.domain.play(context.phases))
--- a/tests/features/steps/views_keepers.py
+++ b/tests/features/steps/views_keepers.py
@@ -1,4 +1,4 @@
-"""Steps about storage instances that conclude from a partial view."""
+"""Steps about storage instances with a stale or partial view."""
 
 import asyncio
 import concurrent.futures
@@ -25,14 +25,13 @@
     Recorded,
     Show,
 )
-from support.keepers import InlineExecutor
-from support.keepers import run_in as network
+from support.keepers import InlineExecutor, run_in
 
-# Three of five turns are within what one instance may grant alone twice.
+# Three of five turns are within twice the share that one instance may grant.
 _BUDGET = 180
 _TOKENS = 36
-# Callers allow a program its budget and the most of one turn.
-_MOST = _BUDGET + _TOKENS
+# Callers allow a program its budget and the maximum of one turn.
+_MAX_USED = _BUDGET + _TOKENS
 _TRIES = 6
 
 
@@ -40,32 +39,34 @@
     """A program and what it may have used.
 
     Attributes:
-        attempts: Turns that asked.
-        used: Tokens of permissions that were given, or what was booked.
+        attempts: Turns that requested a reservation.
+        used: Tokens of granted reservations, or as settled.
     """
 
     def __init__(self):
         self.attempts = []
         self.used = 0
 
-    async def ask(self, n, name):
-        """Asks for a turn through a new front beside a storage instance."""
+    async def ask(self, network, name):
+        """Requests a turn through a new front end beside a storage instance."""
         attempt = f"turn-{len(self.attempts)}"
-        reply = await n.reserve(name, Reserve("p", attempt, _TOKENS, _BUDGET))
+        reply = await network.reserve(
+            name, Reserve("p", attempt, _TOKENS, _BUDGET)
+        )
         self.attempts.append(attempt)
         self.used += _TOKENS * isinstance(reply, Reserved)
         return reply
 
 
 def run_turns(context, name, count):
-    """Lets a program's turns begin; each must get its permission."""
+    """Starts turns of a program; each must get its reservation."""
 
-    async def run(n):
+    async def run(network):
         for _ in range(count):
-            reply = await context.program.ask(n, name)
+            reply = await context.program.ask(network, name)
             assert isinstance(reply, Reserved), reply
 
-    network(context, run)
+    run_in(context, run)
 
 
 @when('a turn of a new program runs at "{name}"')
@@ -75,116 +76,119 @@
 
 
 @when(
-    '{count:d} turns of a new program run at "{name}" while "{away}" is killed'
+    '{count:d} turns of a new program run at "{name}" while "{killed}" is'
+    " killed"
 )
-def step_begin_without(context, count, name, away):
+def step_begin_without(context, count, name, killed):
     context.program = Program()
-    step_missed_for_good(context, count, name, away)
+    step_missed_unfollowed(context, count, name, killed)
 
 
-@when('{count:d} further turns run at "{name}" while "{away}" is killed')
-def step_missed(context, count, name, away):
-    network(context, lambda n: n.kill(away))
+@when('{count:d} further turns run at "{name}" while "{killed}" is killed')
+def step_missed(context, count, name, killed):
+    run_in(context, lambda network: network.kill(killed))
     run_turns(context, name, count)
 
-    async def start(n):
-        await n.start(away)
-        await n.follow(away)
+    async def start(network):
+        await network.start(killed)
+        await network.follow(killed)
 
-    network(context, start)
+    run_in(context, start)
 
 
 @when(
-    '{count:d} further turns run at "{name}" while "{away}" is killed and'
+    '{count:d} further turns run at "{name}" while "{killed}" is killed and'
     " does not follow them"
 )
-def step_missed_for_good(context, count, name, away):
-    network(context, lambda n: n.kill(away))
+def step_missed_unfollowed(context, count, name, killed):
+    run_in(context, lambda network: network.kill(killed))
     run_turns(context, name, count)
-    network(context, lambda n: n.start(away))
+    run_in(context, lambda network: network.start(killed))
 
 
 @when(
-    'a turn is kept at "{names}" while "{away}" is killed and does not follow'
+    'a turn is kept at "{names}" while "{killed}" is killed and does not follow'
     " them"
 )
-def step_keep(context, names, away):
+def step_keep(context, names, killed):
     kept = KeptTurn("t", "", b"text", wall_seconds() + 60.0)
 
-    async def keep(n):
-        await n.kill(away)
+    async def keep(network):
+        await network.kill(killed)
         for name in names.split(", "):
-            await n.keepers[name].serve(Keep(kept))
-        await n.start(away)
+            await network.keepers[name].serve(Keep(kept))
+        await network.start(killed)
 
-    network(context, keep)
+    run_in(context, keep)
 
 
 @when(
-    '"{name}" is cut off from "{others}", and its registration has lapsed for'
-    " long"
+    '"{name}" is partitioned from "{others}", and its registration expired'
+    " long ago"
 )
-def step_cut(context, name, others):
-    async def cut(n):
-        n.cuts |= {frozenset((name, other)) for other in others.split(", ")}
-        n.lapse(name)
-        await n.follow(name)
+def step_partition(context, name, others):
+    async def partition(network):
+        network.cuts |= {
+            frozenset((name, other)) for other in others.split(", ")
+        }
+        network.lapse(name)
+        await network.follow(name)
 
-    network(context, cut)
+    run_in(context, partition)
 
 
 @when('"{name}" loses its disk and starts where "{other}" is not listed')
 def step_lose(context, name, other):
-    async def lose(n):
-        await n.wipe(name)
-        await n.start(name)
-        members = n.members[name]
+    async def lose(network):
+        await network.wipe(name)
+        await network.start(name)
+        members = network.members[name]
         members.known.pop(other, None)
         members.last_seen.pop(other, None)
 
-    network(context, lose)
+    run_in(context, lose)
 
 
-@when('"{name}" has followed those that are listed')
+@when('"{name}" has followed the listed instances')
 def step_follow(context, name):
-    network(context, lambda n: n.follow(name))
+    run_in(context, lambda network: network.follow(name))
 
 
-@then('"{name}" is not whole')
-def step_not_whole(context, name):
+@then('"{name}" has not recovered')
+def step_not_recovered(context, name):
     assert not context.network.keepers[name].is_recovered
 
 
 @when("all reach each other and are listed")
 def step_heal(context):
-    async def heal(n):
-        n.cuts.clear()
-        for name in n.names:
-            if not n.members[name].known[name].leaving:
-                n.list_again(name)
-        # Longer than a front waits before it tells of a turn's end again.
-        await n.pass_time(1.0)
+    async def heal(network):
+        network.cuts.clear()
+        for name in network.names:
+            if not network.members[name].known[name].leaving:
+                network.list_again(name)
+        # Longer than a front end waits before it reports a turn's end again.
+        await network.pass_time(1.0)
 
-    network(context, heal)
+    run_in(context, heal)
 
 
-@when('"{name}" is listed again while it is cut off')
+@when('"{name}" is listed again while it is partitioned')
 def step_listed_again(context, name):
-    async def again(n):
-        n.list_again(name)
+    async def again(network):
+        network.list_again(name)
 
-    network(context, again)
+    run_in(context, again)
 
 
 @then('the program\'s turns at "{names}" stay within its budget and one turn')
 def step_within(context, names):
-    async def ask(n):
+    async def ask(network):
         for _ in range(_TRIES):
             for name in names.split(", "):
-                await context.program.ask(n, name)
+                await context.program.ask(network, name)
 
-    network(context, ask)
-    assert context.program.used <= _MOST, context.program.used
+    run_in(context, ask)
+    assert context.program.used <= _MAX_USED, context.program.used
 
 
 @when('turns of a new program use up its budget at "{name}"')
@@ -193,9 +197,14 @@
     run_turns(context, name, _BUDGET // _TOKENS)
 
 
-@then('a front that starts beside "{name}" does not deny the turn')
-def step_not_denied(context, name):
-    found = network(context, lambda n: n.front(name).lookup.find("t", ""))
+@then(
+    'a front end that starts beside "{name}" does not report the turn as'
+    " nonexistent"
+)
+def step_not_reported_nonexistent(context, name):
+    found = run_in(
+        context, lambda network: network.front(name).lookup.find("t", "")
+    )
     assert not isinstance(found, NoSuchTurn), found
 
 
@@ -207,124 +216,136 @@
     run_turns(context, name, count)
 
 
-async def settle(context, n, attempts, tokens):
-    """Books what some of a program's turns have used."""
+async def settle(context, network, attempts, tokens):
+    """Settles some of a program's turns."""
     for attempt in attempts:
-        n.settle("p", attempt, tokens)
+        network.settle("p", attempt, tokens)
         context.program.used -= _TOKENS - tokens
-    await n.pass_time(0.1)
+    await network.pass_time(0.1)
 
 
 @when(
-    '"{name}" is cut off from "{others}", and the turns end there with little'
-    " used"
+    '"{name}" is partitioned from "{others}", and the turns end there with'
+    " little used"
 )
-def step_end_cut(context, name, others):
-    async def end(n):
-        n.cuts |= {frozenset((name, other)) for other in others.split(", ")}
-        await settle(context, n, context.program.attempts[1:], 1)
+def step_end_partitioned(context, name, others):
+    async def end(network):
+        network.cuts |= {
+            frozenset((name, other)) for other in others.split(", ")
+        }
+        await settle(context, network, context.program.attempts[1:], 1)
 
-    network(context, end)
+    run_in(context, end)
 
 
-@when('the turns end with all used, and "{name}" is cut off from "{others}"')
+@when(
+    'the turns end with all used, and "{name}" is partitioned from "{others}"'
+)
 def step_end(context, name, others):
-    async def end(n):
-        await settle(context, n, context.program.attempts, _TOKENS)
-        n.cuts |= {frozenset((name, other)) for other in others.split(", ")}
+    async def end(network):
+        await settle(context, network, context.program.attempts, _TOKENS)
+        network.cuts |= {
+            frozenset((name, other)) for other in others.split(", ")
+        }
 
-    network(context, end)
+    run_in(context, end)
 
 
-@then('its next turn is refused as not certain at "{name}"')
+@then('its next turn is refused as unsure at "{name}"')
 def step_unsure(context, name):
-    reply = network(context, lambda n: context.program.ask(n, name))
+    reply = run_in(context, lambda network: context.program.ask(network, name))
     assert isinstance(reply, Unsure), reply
 
 
 @then('its next turn is refused as spent at "{name}"')
 def step_spent(context, name):
-    reply = network(context, lambda n: context.program.ask(n, name))
+    reply = run_in(context, lambda network: context.program.ask(network, name))
     assert isinstance(reply, Spent), reply
 
 
-@then('its next turn gets a permission at "{name}"')
-def step_permitted(context, name):
-    reply = network(context, lambda n: context.program.ask(n, name))
+@then('its next turn gets a reservation at "{name}"')
+def step_reserved(context, name):
+    reply = run_in(context, lambda network: context.program.ask(network, name))
     assert isinstance(reply, Reserved), reply
 
 
-class HeldExecutor(concurrent.futures.Executor):
-    """Does nothing until it is let go."""
+class BlockedExecutor(concurrent.futures.Executor):
+    """Runs nothing until it is released."""
 
     def __init__(self):
-        self.waiting = []
+        self.queue = []
 
     def submit(self, work, /, *args):
-        """Notes a function for later."""
+        """Queues a function."""
         future = concurrent.futures.Future()
-        self.waiting.append((future, work, args))
+        self.queue.append((future, work, args))
         return future
 
-    def let_go(self):
-        """Does what was noted."""
-        for future, work, args in self.waiting:
+    def release(self):
+        """Runs the queued functions."""
+        for future, work, args in self.queue:
             future.set_result(work(*args))
 
 
-@when('the disk of "{name}" is held up')
-def step_hold(context, name):
-    context.held = HeldExecutor()
-    context.network.keepers[name].journal.thread = context.held
+@when('the disk of "{name}" is blocked')
+def step_block_disk(context, name):
+    context.blocked = BlockedExecutor()
+    context.network.keepers[name].journal.thread = context.blocked
 
 
-@when('the disk of "{name}" goes on')
-def step_go_on(context, name):
-    async def go_on(n):
-        n.keepers[name].journal.thread = InlineExecutor()
-        context.held.let_go()
-        await n.pass_time(0.05)
+@when('the disk of "{name}" is unblocked')
+def step_unblock_disk(context, name):
+    async def go_on(network):
+        network.keepers[name].journal.thread = InlineExecutor()
+        context.blocked.release()
+        await network.pass_time(0.05)
 
-    network(context, go_on)
+    run_in(context, go_on)
 
 
 def ask_twice(context, name, message, first=None):
-    """Asks twice, or first for something else, without waiting."""
+    """Sends two requests without waiting for the replies.
 
-    async def ask(n):
-        keeper = n.keepers[name]
-        context.asks = []
+    The first one can be another request.
+    """
+
+    async def ask(network):
+        keeper = network.keepers[name]
+        context.requests = []
         for each in (first or message, message):
-            context.asks.append(asyncio.create_task(keeper.serve(each)))
-            await n.pass_time(0.02)
+            context.requests.append(asyncio.create_task(keeper.serve(each)))
+            await network.pass_time(0.02)
 
-    network(context, ask)
+    run_in(context, ask)
 
 
 def further(context, name):
-    """Returns the question for a further turn of the program."""
+    """Returns the request for a further turn of the program."""
     account = context.network.keepers[name].ledger.accounts["p"]
     return Reserve("p", "further", _TOKENS, _BUDGET, account.place)
 
 
-@when('"{name}" is asked twice for a further turn')
+@when('"{name}" gets two requests for a further turn')
 def step_ask_turn(context, name):
     ask_twice(context, name, further(context, name))
 
 
-@when('"{name}" is asked twice for a turn of which another holder has told it')
-def step_ask_told(context, name):
+@when(
+    '"{name}" gets two requests for a turn which another holder has reported'
+    " already"
+)
+def step_ask_reported(context, name):
     message = further(context, name)
 
-    async def show(n):
-        assert isinstance(await n.keepers["a"].serve(message), Recorded)
-        return (await n.keepers["a"].serve(Show("p"))).account
+    async def show(network):
+        assert isinstance(await network.keepers["a"].serve(message), Recorded)
+        return (await network.keepers["a"].serve(Show("p"))).account
 
-    told = Merge([network(context, show)])
-    ask_twice(context, name, message, told)
+    reported = Merge([run_in(context, show)])
+    ask_twice(context, name, message, reported)
 
 
-@when('"{name}" is asked twice for its consent to where another account is')
+@when('"{name}" gets two requests for its consent to where another account is')
 def step_ask_consent(context, name):
     names = tuple(context.network.names)
     ask_twice(context, name, Agree("other", "a", names, list(names)))
@@ -332,88 +353,97 @@
 
 @then("neither was answered")
 def step_none(context):
-    assert not any(ask.done() for ask in context.asks), context.asks
+    assert not any(request.done() for request in context.requests), (
+        context.requests
+    )
 
 
 @then("both were answered")
 def step_both(context):
-    replies = [ask.result() for ask in context.asks]
+    replies = [request.result() for request in context.requests]
     assert isinstance(replies[1], Recorded | Agreed), replies
 
 
 class ListedRegistration:
-    """Registers an instance in a network's lists."""
+    """A registration in the lists of all members of a network."""
 
     def __init__(self, network, name):
         self.network = network
         self.member = network.members[name].known[name]
 
     def update(self, member):
-        """Shows the instance to all as it is now."""
+        """Lists the instance with a new state."""
         self.member = member
         for members in self.network.members.values():
             if member.name in members.known:
                 members.known[member.name] = member
 
     async def end(self):
-        """Takes it off all lists."""
+        """Removes it from all lists."""
         for members in self.network.members.values():
             members._drop(self.member.name)
 
 
-_ORDERS = DecommissionKeys("orders/", "status/", b"running", b"completed")
+_KEYS = DecommissionKeys("orders/", "status/", b"running", b"completed")
 
 
-async def empty(context, n, name):
-    """Lets an instance empty itself, and the others follow it."""
-    emptying = Decommission(
-        n.keepers[name],
-        n.members[name],
-        ListedRegistration(n, name),
-        n.kv,
-        _ORDERS,
+async def start_decommission(context, network, name):
+    """Starts the decommissioning of an instance."""
+    decommission = Decommission(
+        network.keepers[name],
+        network.members[name],
+        ListedRegistration(network, name),
+        network.kv,
+        _KEYS,
     )
-    emptying.requested.set()
-    work = asyncio.create_task(emptying._run())
+    decommission.requested.set()
+    work = asyncio.create_task(decommission._run())
     context.scenario_stack.callback(work.cancel)
 
 
-async def says_completed(n, name, seconds):
-    """Whether it says so in time, while the others follow all."""
+async def reports_completed(network, name, seconds):
+    """Whether it reports completion in time, while the others follow all."""
     for _ in range(round(seconds / 0.2)):
-        found = n.kv.items.get(f"status/{name}", (b"", 0))
-        if found[0] == _ORDERS.completed:
+        found = network.kv.items.get(f"status/{name}", (b"", 0))
+        if found[0] == _KEYS.completed:
             return True
-        for other in list(n.keepers):
-            await n.follow(other)
-        await n.pass_time(0.2)
+        for other in list(network.keepers):
+            await network.follow(other)
+        await network.pass_time(0.2)
     return False
 
 
-@when('"{name}" is ordered to be emptied')
-def step_order(context, name):
-    network(context, lambda n: empty(context, n, name))
+@when('the decommissioning of "{name}" is requested')
+def step_request(context, name):
+    run_in(context, lambda network: start_decommission(context, network, name))
 
 
-@then('{seconds:d} seconds later "{name}" does not say that it is emptied')
-def step_not_emptied(context, seconds, name):
-    assert not network(context, lambda n: says_completed(n, name, seconds))
+@then(
+    '{seconds:d} seconds later "{name}" does not report that it is'
+    " decommissioned"
+)
+def step_not_decommissioned(context, seconds, name):
+    assert not run_in(
+        context, lambda network: reports_completed(network, name, seconds)
+    )
 
 
-@then('"{name}" says that it is emptied')
-def step_emptied(context, name):
-    assert network(context, lambda n: says_completed(n, name, 5.0))
+@then('"{name}" reports that it is decommissioned')
+def step_decommissioned(context, name):
+    assert run_in(
+        context, lambda network: reports_completed(network, name, 5.0)
+    )
 
 
 @when('a turn is kept at "{names}"')
 def step_keep_there(context, names):
     kept = KeptTurn("t", "", b"text", wall_seconds() + 60.0)
 
-    async def keep(n):
+    async def keep(network):
         for name in names.split(", "):
-            await n.keepers[name].serve(Keep(kept))
+            await network.keepers[name].serve(Keep(kept))
 
-    network(context, keep)
+    run_in(context, keep)
 
 
 @when('{count:d} further turns run at "{name}"')
@@ -421,7 +451,7 @@
     run_turns(context, name, count)
 
 
-@then('"{names}" have the turn and the {count:d} permissions')
+@then('"{names}" have the turn and the {count:d} reservations')
 def step_have(context, names, count):
     for name in names.split(", "):
         keeper = context.network.keepers[name]
@@ -430,120 +460,128 @@
         assert len(uses) == count, (name, uses)
 
 
-@when('"{name}" is ordered to be emptied, and the store is too slow to be told')
-def step_order_slow(context, name):
-    """Ends when all was handed over and only the word of it is missing."""
+@when(
+    'the decommissioning of "{name}" is requested, and the store is too slow'
+    " for its report"
+)
+def step_request_slow(context, name):
+    """Ends when everything was transferred and only the report is pending."""
 
-    async def order(n):
-        said = asyncio.Event()
-        write = n.kv.write
+    async def request(network):
+        reported = asyncio.Event()
+        write = network.kv.write
 
         async def write_slowly(key, value, *how):
-            if value == _ORDERS.completed:
-                said.set()
+            if value == _KEYS.completed:
+                reported.set()
                 await asyncio.Event().wait()
             return await write(key, value, *how)
 
-        n.kv.write = write_slowly
-        context.front = n.front("b")
-        await empty(context, n, name)
-        following = asyncio.create_task(says_completed(n, name, 10.0))
-        await asyncio.wait_for(said.wait(), 10.0)
+        network.kv.write = write_slowly
+        context.front = network.front("b")
+        await start_decommission(context, network, name)
+        following = asyncio.create_task(reports_completed(network, name, 10.0))
+        await asyncio.wait_for(reported.wait(), 10.0)
         following.cancel()
 
-    network(context, order)
+    run_in(context, request)
 
 
-@when('{count:d} further turns ask at "{name}" while "{away}" is killed')
-def step_ask_without(context, count, name, away):
-    async def ask(n):
-        await n.kill(away)
+@when(
+    '{count:d} further turns are requested at "{name}" while "{killed}" is'
+    " killed"
+)
+def step_ask_without(context, count, name, killed):
+    async def ask(network):
+        await network.kill(killed)
         for _ in range(count):
-            await context.program.ask(n, name)
-        await n.start(away)
+            await context.program.ask(network, name)
+        await network.start(killed)
 
-    network(context, ask)
+    run_in(context, ask)
 
 
-@when('"{name}" is taken away')
-def step_take_away(context, name):
-    async def take(n):
-        await n.wipe(name)
-        n.names.remove(name)
-        for members in n.members.values():
+@when('"{name}" is removed')
+def step_remove(context, name):
+    async def remove(network):
+        await network.wipe(name)
+        network.names.remove(name)
+        for members in network.members.values():
             members._drop(name)
 
-    network(context, take)
+    run_in(context, remove)
 
 
-@then(
-    'a front with the list of before does not count a turn as kept at "{name}"'
-)
+@then('a front end with the old list does not count a turn as kept at "{name}"')
 def step_not_kept(context, name):
     kept = KeptTurn("t", "", b"text", wall_seconds() + 60.0)
 
-    async def keep(n):
-        others = [other for other in n.keepers if other not in (name, "b")]
+    async def keep(network):
+        others = [
+            other for other in network.keepers if other not in (name, "b")
+        ]
         for other in others:
-            await n.kill(other)
+            await network.kill(other)
         return await context.front.lookup.keep(kept)
 
-    domains = network(context, keep).domains
+    domains = run_in(context, keep).domains
     assert f"domain-{name}" not in domains, domains
 
 
-@when('the store takes the registrations of "{names}" away')
+@when('the store removes the registrations of "{names}"')
 def step_revoke(context, names):
-    """All of them run, and reach each other; none reaches the store."""
+    """All instances run and reach each other; these don't reach the store."""
 
-    async def revoke(n):
-        for members in n.members.values():
+    async def revoke(network):
+        for members in network.members.values():
             for name in names.split(", "):
-                # A watch that is turned away goes on with what it has heard.
+                # A rejected watch goes on with what it has received.
                 if members.name not in names.split(", "):
                     members._on_removed(PREFIX + name)
 
-    network(context, revoke)
+    run_in(context, revoke)
 
 
-@then('a front beside "{name}" keeps a turn in {count:d} failure domains')
+@then('a front end beside "{name}" keeps a turn in {count:d} failure domains')
 def step_kept_in(context, name, count):
     kept = KeptTurn("t", "", b"text", wall_seconds() + 60.0)
-    found = network(context, lambda n: n.front(name).lookup.keep(kept))
+    found = run_in(
+        context, lambda network: network.front(name).lookup.keep(kept)
+    )
     assert len(found.domains) >= count, found
 
 
-@then('its next {count:d} turns get permissions at "{name}"')
-def step_all_permitted(context, count, name):
+@then('its next {count:d} turns get reservations at "{name}"')
+def step_all_reserved(context, count, name):
     run_turns(context, name, count)
 
 
 @when(
-    'turns of {count:d} programs that began at "{first}" ask at "{name}" again'
-    " and again"
+    'turns of {count:d} programs that began at "{first}" are requested at'
+    ' "{name}" continually'
 )
-def step_go_on(context, count, first, name):
+def step_keep_requesting(context, count, first, name):
     numbers = itertools.count()
 
     def ask(program):
         attempt = f"{program}-{next(numbers)}"
         return Reserve(program, attempt, 1, 1_000_000)
 
-    async def go_on(n):
+    async def go_on(network):
         fronts = {}
         for number in range(count):
             program = f"busy-{number}"
-            fronts[program] = n.front(first)
+            fronts[program] = network.front(first)
             reply = await fronts[program].permits.reserve(ask(program))
             assert isinstance(reply, Reserved), reply
 
-        async def ask_for_ever():
+        async def ask_forever():
             while True:
                 for program, front in fronts.items():
                     await front.permits.reserve(ask(program))
                     await asyncio.sleep(0.001)
 
-        work = asyncio.create_task(ask_for_ever())
+        work = asyncio.create_task(ask_forever())
         context.scenario_stack.callback(work.cancel)
 
-    network(context, go_on)
+    run_in(context, go_on)
--- a/tests/features/steps/watches.py
+++ b/tests/features/steps/watches.py
@@ -21,16 +21,16 @@
 _NAME = "one"
 _ENDPOINTS = "servers/"
 _VALUE = msgspec.json.encode(Member(_NAME, "east", "127.0.0.1:9", "run"))
-# A prefix is read again within a pause of the store's return.
+# A prefix is read again within a pause after the store's return.
 _SLACK_SECONDS = 0.3
 
 
 class FlakyStore:
-    """A store with one entry, which can be away.
+    """A store with one entry, which can be unavailable.
 
     Attributes:
-        key: The entry's.
-        away: Whether it is.
+        key: Key of the entry.
+        is_unavailable: Whether all calls fail.
         was_read: Set when the prefix is read.
 
     Args:
@@ -43,7 +43,7 @@
         self.entries = {self.key: Entry(self.key, _VALUE, 1)}
         self.revision = 1
         self.history = []
-        self.away = False
+        self.is_unavailable = False
         self.changed = asyncio.Event()
         self.was_read = asyncio.Event()
 
@@ -52,23 +52,23 @@
         return asyncio.get_running_loop().time()
 
     async def list(self, prefix):
-        """Reads all."""
-        if self.away:
-            return Unavailable("away")
+        """Reads all entries."""
+        if self.is_unavailable:
+            return Unavailable("unreachable")
         self.was_read.set()
         return Range(list(self.entries.values()), self.revision)
 
     async def watch(self, prefix, after, seconds):
-        """Waits for a change, or fails while the store is away."""
+        """Waits for a change, or fails while the store is unavailable."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(seconds):
-                while not self.away and self.revision <= after:
+                while not self.is_unavailable and self.revision <= after:
                     self.changed.clear()
                     await self.changed.wait()
-        if self.away:
-            return Unavailable("away")
-        news = [(k, v) for at, k, v in self.history if at > after]
-        return WatchEvents(news, self.revision)
+        if self.is_unavailable:
+            return Unavailable("unreachable")
+        changes = [(k, v) for at, k, v in self.history if at > after]
+        return WatchEvents(changes, self.revision)
 
     def write(self):
         """Writes the entry."""
@@ -76,12 +76,12 @@
         self.entries[self.key] = Entry(self.key, _VALUE, self.revision)
 
     def remove(self):
-        """Reports the removal of the entry, which may be gone already."""
+        """Reports the removal of the entry, which may be missing already."""
         self._add(None)
         self.entries.pop(self.key, None)
 
     def touch(self):
-        """Changes something else, so that the watch is answered."""
+        """Changes another key, so that pending watches complete."""
         self.revision += 1
         self.changed.set()
 
@@ -90,37 +90,37 @@
         self.history.append((self.revision, self.key, value))
         self.changed.set()
 
-    def go(self):
-        """Goes away."""
-        self.away = True
+    def begin_outage(self):
+        """Starts an outage."""
+        self.is_unavailable = True
         self.changed.set()
 
-    def come_back_without(self):
-        """Comes back; the entry has lapsed."""
+    def end_outage(self):
+        """Ends the outage; the entry has expired in the meantime."""
         self.remove()
-        self.away = False
+        self.is_unavailable = False
 
-    async def read(self):
-        """Waits until the prefix is read; returns the time of it."""
+    async def wait_for_read(self):
+        """Waits until the prefix is read; returns the loop time then."""
         self.was_read.clear()
         await self.was_read.wait()
         return self.now()
 
 
-class Refusing:
-    """A store that turns everybody away."""
+class RejectingStore:
+    """A store that rejects all calls."""
 
     async def list(self, prefix):
-        """Reads nothing."""
-        return Unavailable("refused")
+        """Fails."""
+        return Unavailable("rejected")
 
     async def watch(self, prefix, after, seconds):
-        """Waits for nothing."""
-        return Unavailable("refused")
+        """Fails."""
+        return Unavailable("rejected")
 
 
-class PassingMember(Members):
-    """The only storage instance that a front knows, and its link."""
+class RelayingMember(Members):
+    """The only storage instance that a front end knows, and its link."""
 
     failures = 0
 
@@ -134,120 +134,120 @@
         return self
 
     async def ask(self, message, seconds):
-        """Answers a front."""
+        """Replies to a front end."""
         return await self.mirrors.serve(message)
 
 
-class Follower:
-    """Who follows the store, and when it took the entry for gone.
+class Watcher:
+    """A process that watches the store, and the removals reported to it.
 
     Attributes:
         store: The store.
-        kv: The same, as this one reads it.
+        kv: The store as this process reads it.
         watch: Its watch.
-        opened: What it needs besides.
-        removals: Loop times.
+        mirrors: Context manager that has to be open during the watch.
+        removals: Loop times at which the entry was reported as removed.
     """
 
     def __init__(self, store):
         self.store = store
         self.kv = store
         self.watch = None
-        self.opened = contextlib.nullcontext()
+        self.mirrors = contextlib.nullcontext()
         self.removals = []
 
     def read_through_instance(self, mirrored):
-        """Reads through a storage instance; the store turns this one away."""
-        self.kv = RelayedKv(Refusing(), "east", mirrored)
-        self.kv.members = PassingMember(self.store)
-        self.opened = self.kv.members.mirrors
+        """Reads through a storage instance; the store rejects this process."""
+        self.kv = RelayedKv(RejectingStore(), "east", mirrored)
+        self.kv.members = RelayingMember(self.store)
+        self.mirrors = self.kv.members.mirrors
 
-    def removed(self, key):
-        """Takes a removal."""
+    def on_removed(self, key):
+        """Records a removal."""
         assert key == self.store.key, key
         self.removals.append(self.store.now())
 
-    def follow(self, grace):
-        """Follows the store."""
+    def start_watch(self, grace):
+        """Creates the watch."""
         self.watch = PrefixWatch(
             self.kv,
             self.store.prefix,
             2.5,
             lambda key, value: None,
-            self.removed,
+            self.on_removed,
             grace,
         )
 
     @property
     def is_listed(self):
-        """Whether the store lists the entry, as heard here."""
+        """Whether the store lists the entry, as known here."""
         return self.store.key in self.watch.values
 
     async def is_listed_anew(self):
-        """Whether one who starts to follow the store now finds the entry."""
-        another = Follower(self.store)
+        """Whether a watch that starts now finds the entry."""
+        another = Watcher(self.store)
         another.kv = self.kv
-        another.follow(0.0)
+        another.start_watch(0.0)
         async with another.watch:
             await asyncio.sleep(1.0)
             assert another.watch.synced
             return another.is_listed
 
 
-def _follow_directly(grace):
+def _watch_directly(grace):
     def make():
-        follower = Follower(FlakyStore(_ENDPOINTS))
-        follower.follow(grace)
-        return follower
+        watcher = Watcher(FlakyStore(_ENDPOINTS))
+        watcher.start_watch(grace)
+        return watcher
 
     return make
 
 
-def _follow_through_instance():
-    follower = Follower(FlakyStore(_ENDPOINTS))
-    follower.read_through_instance((_ENDPOINTS,))
-    follower.follow(2.0)
-    return follower
+def _watch_through_instance():
+    watcher = Watcher(FlakyStore(_ENDPOINTS))
+    watcher.read_through_instance((_ENDPOINTS,))
+    watcher.start_watch(2.0)
+    return watcher
 
 
-def _follow_members(through_instance):
-    follower = Follower(FlakyStore(PREFIX))
+def _watch_members(through_instance):
+    watcher = Watcher(FlakyStore(PREFIX))
     if through_instance:
-        follower.read_through_instance(())
-    members = Members(follower.kv)
+        watcher.read_through_instance(())
+    members = Members(watcher.kv)
 
     def note():
         if _NAME not in members.known:
-            follower.removed(follower.store.key)
+            watcher.on_removed(watcher.store.key)
 
     members.on_change = note
-    follower.watch = members.watch
-    return follower
+    watcher.watch = members.watch
+    return watcher
 
 
-@given("a watch with a grace of {seconds:d} seconds and an entry")
+@given("a watch with a grace period of {seconds:d} seconds and an entry")
 def step_watch(context, seconds):
-    context.make, context.plan = _follow_directly(seconds), []
+    context.make, context.plan = _watch_directly(seconds), []
 
 
-@given("a front that reads an entry through a storage instance")
+@given("a front end that reads an entry through a storage instance")
 def step_front(context):
-    context.make, context.plan = _follow_through_instance, []
+    context.make, context.plan = _watch_through_instance, []
 
 
 @given("a process that knows a storage instance")
 def step_member(context):
-    context.make, context.plan = lambda: _follow_members(False), []
+    context.make, context.plan = lambda: _watch_members(False), []
 
 
-@given("a front that the store turns away and that knows storage instances")
-def step_turned_away(context):
-    context.make, context.plan = lambda: _follow_members(True), []
+@given("a front end that the store rejects and that knows storage instances")
+def step_rejected(context):
+    context.make, context.plan = lambda: _watch_members(True), []
 
 
 @when(
-    "the store was away for {seconds:f} seconds and the entry was missing"
-    " after it"
+    "the store was unreachable for {seconds:f} seconds and the entry was"
+    " missing after it"
 )
 def step_outage(context, seconds):
     context.away_seconds = seconds
@@ -263,10 +263,10 @@
     context.plan.append((seconds, lambda store, watch: store.remove()))
 
 
-@when("the store is away again from {begin:f} to {end:f} seconds later")
-def step_again(context, begin, end):
-    context.plan.append((begin, lambda store, watch: store.go()))
-    context.plan.append((end, lambda store, watch: store.come_back_without()))
+@when("the store is unreachable again from {begin:f} to {end:f} seconds later")
+def step_second_outage(context, begin, end):
+    context.plan.append((begin, lambda store, watch: store.begin_outage()))
+    context.plan.append((end, lambda store, watch: store.end_outage()))
 
 
 @when("the watch ends {seconds:f} seconds later")
@@ -275,32 +275,33 @@
 
 
 async def _play(context, seconds):
-    """Plays the outage, what is planned after it, and some seconds more.
+    """Runs the outage, the planned steps after it, and some seconds more.
 
     Returns:
-        When removals were heard after the prefix was read again, and whether
-        the entry is listed in the end, as heard so far and as read anew.
+        The seconds from when the prefix was read again to each reported
+        removal, and whether the entry is listed in the end: by this watch and
+        by one that starts then.
     """
-    follower = context.make()
-    store = follower.store
-    async with follower.opened, follower.watch:
+    watcher = context.make()
+    store = watcher.store
+    async with watcher.mirrors, watcher.watch:
         await asyncio.sleep(1.0)
-        assert follower.is_listed
+        assert watcher.is_listed
         store.touch()
         await asyncio.sleep(0.1)
-        store.go()
+        store.begin_outage()
         await asyncio.sleep(context.away_seconds)
-        store.come_back_without()
-        began = await store.read()
+        store.end_outage()
+        began = await store.wait_for_read()
         for at, act in context.plan:
             await asyncio.sleep(began + at - store.now())
-            done = act(store, follower.watch)
-            if done:
-                await done
+            pending = act(store, watcher.watch)
+            if pending:
+                await pending
         await asyncio.sleep(began + seconds - store.now())
-        removals = [at - began for at in follower.removals]
-        listed = follower.is_listed
-        return removals, (listed, await follower.is_listed_anew())
+        removals = [at - began for at in watcher.removals]
+        listed = watcher.is_listed
+        return removals, (listed, await watcher.is_listed_anew())
 
 
 @then("the store does not list it {seconds:f} seconds later")
@@ -309,14 +310,15 @@
     assert not any(listed) and not removals, (removals, listed)
 
 
-@then("no removal is heard within {seconds:f} seconds")
+@then("no removal is reported within {seconds:f} seconds")
 def step_none(context, seconds):
     removals, context.listed = run_virtually(_play(context, seconds))
     assert not removals, removals
 
 
 @then(
-    "one removal is heard within {seconds:f} seconds, {after:f} seconds later"
+    "one removal is reported within {seconds:f} seconds, {after:f} seconds"
+    " later"
 )
 def step_one(context, seconds, after):
     removals, context.listed = run_virtually(_play(context, seconds))
@@ -324,6 +326,6 @@
     assert after - 0.001 <= removals[0] <= after + _SLACK_SECONDS, removals
 
 
-@then("it is listed, also for one who starts to follow the store then")
+@then("it is listed, also for a watch that starts then")
 def step_lists(context):
     assert all(context.listed), context.listed
--- a/tests/features/views.feature
+++ b/tests/features/views.feature
@@ -1,214 +1,220 @@
-Feature: Views that are old or partial
-  Each process acts by what it has heard, which may be less than there is.
-  What is taken for certain must not rest on that.
-
-  Scenario: An entry lapsed while the store was away
-    Storage instances, one of them late, hold it back for two seconds after the store's return. A
-    front that has heard all else by then must still hear of its removal, or it
-    sends calls to an endpoint that is gone for as long as it runs.
-
-    Given a front that follows "servers/" through storage instances "east, west"
-    When the store was away for 4 seconds and the entry of "one" is missing after it
-    Then 1.5 seconds after its return the front still knows "one"
-    And 4.0 seconds after its return the front knows only "two"
-
-  Scenario: An entry that lapsed is written again while it is told of
-    The removal is told again for some seconds, to fronts that may not have
-    heard it. It must not undo what they have heard since.
-
-    Given a front that follows "servers/" through storage instances "east, west"
-    When the store was away for 4 seconds and the entry of "one" is missing after it
+Feature: Stale and partial views
+  Each process acts on what it knows, which may be less than there is. Nothing
+  may be treated as certain only because a stale or partial view suggests it.
+
+  Scenario: An entry expired while the store was unreachable
+    Storage instances, one of them late, hold it back for two seconds after the
+    store's return. A front end that is up to date otherwise by then must still
+    receive its removal, or it sends calls to an endpoint that is gone for as
+    long as it runs.
+
+    Given a front end that watches "servers/" through storage instances "east, west"
+    When the store was unreachable for 4 seconds and the entry of "one" is missing after it
+    Then 1.5 seconds after its return the front end still knows "one"
+    And 4.0 seconds after its return the front end knows only "two"
+
+  Scenario: An entry that expired is written again while its removal is reported
+    The removal is reported again for some seconds, to front ends that may not
+    have received it. It must not undo changes that they have received since.
+
+    Given a front end that watches "servers/" through storage instances "east, west"
+    When the store was unreachable for 4 seconds and the entry of "one" is missing after it
     And "one" registers again 4.0 seconds after its return
-    Then from 4.6 to 20.0 seconds after its return the front knows "one, two"
+    Then from 4.6 to 20.0 seconds after its return the front end knows "one, two"
 
-  Scenario: One that has lost its disk starts while another one is not listed
-    The other one is cut off for so long that its registration has lapsed. It
-    alone knows of permissions that the third missed while it was killed. If
-    the list is taken for all that there are, two holders count that have
-    forgotten them, and the program spends them twice.
+  Scenario: An instance that lost its disk starts while another one is not listed
+    The other one has been partitioned for so long that its registration has
+    expired. Only it knows of reservations that the third instance missed while
+    it was down. If the list were considered complete, two holders without these
+    reservations would form a majority, and the program would spend them twice.
 
     Given storage instances "a, b, c"
     When a turn of a new program runs at "a"
     And 2 further turns run at "b" while "a" is killed and does not follow them
-    And "c" is cut off from "a, b", and its registration has lapsed for long
+    And "c" is partitioned from "a, b", and its registration expired long ago
     And "b" loses its disk and starts where "c" is not listed
-    And "b" has followed those that are listed
+    And "b" has followed the listed instances
     Then the program's turns at "a, b" stay within its budget and one turn
-    And "b" is not whole
+    And "b" has not recovered
     When all reach each other and are listed
-    And "b" has followed those that are listed
+    And "b" has followed the listed instances
     Then "b" is whole
     And the program's turns at "a, b, c" stay within its budget and one turn
 
-  Scenario: An account of which one that is listed has not heard
-    One that has lost its disk follows another one that was killed while the
-    account was opened. Neither knows of it, and they open it a second time.
+  Scenario: An account that a listed instance does not know
+    An instance that has lost its disk follows another one that was down when
+    the account was opened. Neither knows it, and they open it a second time.
 
     Given storage instances "a, b, c"
     When 4 turns of a new program run at "c" while "b" is killed
-    And "a" is cut off from "b, c", and its registration has lapsed for long
+    And "a" is partitioned from "b, c", and its registration expired long ago
     And "c" loses its disk and starts where "a" is not listed
-    And "c" has followed those that are listed
+    And "c" has followed the listed instances
     Then the program's turns at "b, c" stay within its budget and one turn
 
-  Scenario: A turn of before, where one that lost its disk has not heard of all
-    Both that are listed say that they have all and don't have it; the one that
-    has it is cut off. A front that has just started denies the turn.
+  Scenario: A previous turn that an instance with a lost disk has not fetched
+    Both listed instances report that they hold everything, and neither holds
+    the turn; the instance that holds it is partitioned. A front end that has
+    just started reports the turn as nonexistent.
 
     Given storage instances "a, b, c"
     When a turn is kept at "b, c" while "a" is killed and does not follow them
-    And "c" is cut off from "a, b", and its registration has lapsed for long
+    And "c" is partitioned from "a, b", and its registration expired long ago
     And "b" loses its disk and starts where "c" is not listed
-    And "b" has followed those that are listed
-    Then a front that starts beside "b" does not deny the turn
+    And "b" has followed the listed instances
+    Then a front end that starts beside "b" does not report the turn as nonexistent
 
   Scenario: Machines lose their disks one after the other
-    One was killed while turns began. The next one is replaced, and when its
-    successor has followed all others the third loses its disk. No more than
-    one disk is lost at a time, so the first must have taken in by then what
-    it had missed.
+    The first one was down while turns began. The next one is replaced, and when
+    its successor has followed all others the third loses its disk. No more than
+    one disk is lost at a time, so the first must have fetched by then what it
+    had missed.
 
     Given storage instances "a, b, c"
     When a turn of a new program runs at "a"
     And 2 further turns run at "b" while "a" is killed
     And "c" is replaced by "d" of its domain, which is still listed
     And the registration of "c" has lapsed for long
-    And "a" has followed those that are listed
-    And "d" has followed those that are listed
+    And "a" has followed the listed instances
+    And "d" has followed the listed instances
     And "b" loses its disk and starts where "c" is not listed
-    And "b" has followed those that are listed
+    And "b" has followed the listed instances
     Then "b" is whole
     And the program's turns at "a, b" stay within its budget and one turn
 
-  Scenario: One whose registration had lapsed is listed again
-    The others have not counted it for a while and opened accounts without
-    it. It is heard by the store again before it hears any of them, and must
-    not grant alone what they have given away.
+  Scenario: An instance whose registration had expired is listed again
+    The others did not count it for a while and opened accounts without it. It
+    reaches the store before it reaches any of them, and must not grant alone
+    what they have granted already.
 
     Given storage instances "a, b, c"
-    When "c" is cut off from "a, b", and its registration has lapsed for long
+    When "c" is partitioned from "a, b", and its registration expired long ago
     And turns of a new program use up its budget at "a"
-    And "c" is listed again while it is cut off
+    And "c" is listed again while it is partitioned
     Then the program's turns at "c" stay within its budget and one turn
 
-  Scenario: One whose registration had lapsed starts again
-    The same, and it can't remember that it was not counted.
+  Scenario: An instance whose registration had expired starts again
+    As before, but after its restart it does not know that it was not counted.
 
     Given storage instances "a, b, c"
-    When "c" is cut off from "a, b", and its registration has lapsed for long
+    When "c" is partitioned from "a, b", and its registration expired long ago
     And turns of a new program use up its budget at "a"
     And "c" is killed and started again
-    And "c" is listed again while it is cut off
+    And "c" is listed again while it is partitioned
     Then the program's turns at "c" stay within its budget and one turn
 
-  Scenario: What turns have used is known to a holder out of reach
-    A front heard of their ends and reached one holder only. The others count
-    them in full. They must not say that the budget is spent, which ends the
-    program; it goes on when the third is heard again.
+  Scenario: An unreachable holder knows what turns have used
+    A front end settled the turns and reached one holder only. The others count
+    them at their full reservations. They must not report the budget as spent,
+    which ends the program; it continues once the third holder is reachable
+    again.
 
     Given storage instances "a, b, c"
     When a program that began at "b" has 4 turns running at "a"
-    And "a" is cut off from "b, c", and the turns end there with little used
-    Then its next turn is refused as not certain at "b"
+    And "a" is partitioned from "b, c", and the turns end there with little used
+    Then its next turn is refused as unsure at "b"
     When all reach each other and are listed
-    Then its next turn gets a permission at "b"
+    Then its next turn gets a reservation at "b"
 
-  Scenario: A program that has used its budget while a holder is out of reach
-    That is certain, whatever the third knows, and has to end it.
+  Scenario: A program that has used its budget while a holder is unreachable
+    That is certain, no matter what the third holder knows, and ends the
+    program.
 
     Given storage instances "a, b, c"
     When a program that began at "b" has 4 turns running at "a"
-    And the turns end with all used, and "a" is cut off from "b, c"
+    And the turns end with all used, and "a" is partitioned from "b, c"
     Then its next turn is refused as spent at "b"
 
-  Scenario Outline: A storage instance is asked again while its disk is slow
-    It knows what it was asked for before, but only in memory. An answer now
-    counts elsewhere as a record on its disk, which a power loss takes.
+  Scenario Outline: A request is repeated while a storage instance's disk is slow
+    The instance has the record of the first request in memory only. A reply now
+    would count elsewhere as a record on its disk, which a power loss removes.
 
     Given storage instances "a, b, c"
     When a turn of a new program runs at "a"
-    And the disk of "b" is held up
-    And "b" is asked twice for <what>
+    And the disk of "b" is blocked
+    And "b" gets two requests for <what>
     Then neither was answered
-    When the disk of "b" goes on
+    When the disk of "b" is unblocked
     Then both were answered
 
     Examples:
-      | what                                       |
-      | a further turn                             |
-      | its consent to where another account is    |
-      | a turn of which another holder has told it |
+      | what                                             |
+      | a further turn                                   |
+      | its consent to where another account is          |
+      | a turn which another holder has reported already |
 
-  Scenario: An instance is emptied while another one is not listed
-    That one is cut off for so long that its registration has lapsed. Turns
-    that lie in one other domain only, and permissions that only one other
-    holder has heard of, go with the next disk that is lost; the emptied one
-    does not count as lost.
+  Scenario: An instance is decommissioned while another one is not listed
+    The other one has been partitioned for so long that its registration has
+    expired. Turns that only one other domain holds, and reservations that only
+    one other holder knows, are gone with the next lost disk; the decommissioned
+    instance does not count as a lost disk.
 
     Given storage instances "a, b, c"
     When a turn of a new program runs at "a"
-    And "c" is cut off from "a, b", and its registration has lapsed for long
+    And "c" is partitioned from "a, b", and its registration expired long ago
     And a turn is kept at "a, b"
     And 2 further turns run at "a"
-    And "a" is ordered to be emptied
-    Then 2 seconds later "a" does not say that it is emptied
+    And the decommissioning of "a" is requested
+    Then 2 seconds later "a" does not report that it is decommissioned
     When all reach each other and are listed
-    Then "a" says that it is emptied
-    And "b, c" have the turn and the 3 permissions
+    Then "a" reports that it is decommissioned
+    And "b, c" have the turn and the 3 reservations
 
-  Scenario: A permission is recorded where accounts have been handed over
-    Its machine is taken away with the disk as soon as it has said that it is
-    emptied. What it records after the others were told is known to one of
-    them only, and counts as if it were on two disks.
+  Scenario: A reservation is recorded after accounts were transferred
+    The machine is removed with its disk as soon as it has reported that it is
+    decommissioned. A reservation that it records after the transfer is known to
+    one other holder only, and counts as if it were on two disks.
 
     Given storage instances "a, b, c"
     When a turn of a new program runs at "a"
-    And "c" is ordered to be emptied, and the store is too slow to be told
-    And 2 further turns ask at "b" while "a" is killed
-    And "c" is taken away
+    And the decommissioning of "c" is requested, and the store is too slow for its report
+    And 2 further turns are requested at "b" while "a" is killed
+    And "c" is removed
     And "b" loses its disk and starts where "c" is not listed
-    And "b" has followed those that are listed
+    And "b" has followed the listed instances
     Then the program's turns at "a, b" stay within its budget and one turn
 
-  Scenario: A turn is kept where all turns have been handed over
-    A front whose list is old sends it there. It must not count as kept.
+  Scenario: A turn is kept after all turns were transferred
+    A front end with a stale list sends it there. It must not count as kept.
 
     Given storage instances "a, b, c"
-    When "c" is ordered to be emptied, and the store is too slow to be told
-    Then a front with the list of before does not count a turn as kept at "c"
+    When the decommissioning of "c" is requested, and the store is too slow for its report
+    Then a front end with the old list does not count a turn as kept at "c"
 
-  Scenario: A cut that outlasts the registrations of its domain
-    Its storage instances are not listed any more after ten seconds. That says
-    nothing of the way there, and calls placed there again get lost.
+  Scenario: A partition that outlasts the registrations of its domain
+    Its storage instances are not listed any more after ten seconds. That does
+    not show that the domain is reachable, and calls placed there again would be
+    lost.
 
-    Given a front that has taken "west" for cut off
+    Given a front end that considers "west" cut off
     When the storage instances of "west" are not listed any more for 3 seconds
-    Then "west" is still taken for cut off
+    Then "west" is still considered cut off
     When endpoints of "west" can be reached again for 1 second
-    Then "west" is not taken for cut off
+    Then "west" is not considered cut off
 
-  Scenario: The store takes the registrations of two away, which are there
-    It turns these machines away for some seconds and has ended their leases.
-    All of them answer. A turn that is kept by one only is lost with the next
-    disk, though two others could have taken it.
+  Scenario: The store removes the registrations of two running instances
+    It rejects these machines for some seconds and has ended their leases. All
+    instances reply. A turn that only one of them keeps is lost with the next
+    disk, although two others could have stored it.
 
     Given storage instances "a, b, c"
-    When the store takes the registrations of "b, c" away
-    Then a front beside "a" keeps a turn in 2 failure domains
+    When the store removes the registrations of "b, c"
+    Then a front end beside "a" keeps a turn in 2 failure domains
 
-  Scenario: The store takes the registrations of two away, and turns ask
-    All holders answer, and still all but a few turns would be refused.
+  Scenario: The store removes the registrations of two, and turns are requested
+    All holders reply, and still all but a few turns would be refused.
 
     Given storage instances "a, b, c"
     When a turn of a new program runs at "a"
-    And the store takes the registrations of "b, c" away
-    Then its next 4 turns get permissions at "a"
+    And the store removes the registrations of "b, c"
+    Then its next 4 turns get reservations at "a"
 
-  Scenario: An instance is emptied while turns go on
-    Each permission that it records is one more that the others must have heard
-    of. Waiting until they have heard all at once, it is never done.
+  Scenario: An instance is decommissioned while turns go on
+    Each reservation that it records is one more that the others must fetch. If
+    it waited until they had fetched all of them at one moment, it would never
+    finish.
 
     Given storage instances "a, b, c"
-    When turns of 10 programs that began at "a" ask at "b" again and again
-    And "a" is ordered to be emptied
-    Then "a" says that it is emptied
+    When turns of 10 programs that began at "a" are requested at "b" continually
+    And the decommissioning of "a" is requested
+    Then "a" reports that it is decommissioned
--- a/tests/support/keepers.py
+++ b/tests/support/keepers.py
@@ -27,44 +27,52 @@
 
 _CODEC = codec()
 _METRICS = Metrics()
-# Beyond any lease and the time after it in which a member is still counted.
-_LONG_SECONDS = 60.0
+# Longer than any lease plus the time for which a member still counts after it.
+_LONG_AGO_SECONDS = 60.0
 
 
-class AwayKv(MemoryKv):
-    """A store that can be away."""
+class UnavailableKv(MemoryKv):
+    """A store that can be unavailable."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.away = False
+        self.is_unavailable = False
 
     async def read(self, key: str):  # noqa: ANN201
-        """Reads one key, if the store is there."""
-        return Unavailable("away") if self.away else await super().read(key)
+        """Reads one key, if the store is available."""
+        return (
+            Unavailable("unreachable")
+            if self.is_unavailable
+            else await super().read(key)
+        )
 
     async def list(self, prefix: str):  # noqa: ANN201
-        """Reads all keys under a prefix, if the store is there."""
-        return Unavailable("away") if self.away else await super().list(prefix)
+        """Reads all keys under a prefix, if the store is available."""
+        return (
+            Unavailable("unreachable")
+            if self.is_unavailable
+            else await super().list(prefix)
+        )
 
     async def watch(  # noqa: ANN201
         self, prefix: str, after: int, seconds: float
     ):
-        """Returns changes, if the store is there."""
-        if self.away:
-            return Unavailable("away")
+        """Returns changes, if the store is available."""
+        if self.is_unavailable:
+            return Unavailable("unreachable")
         return await super().watch(prefix, after, seconds)
 
     async def write(  # noqa: ANN201
         self, key: str, value: bytes, expect: int, lease: str = ""
     ):
-        """Compare-and-swap, if the store is there."""
-        if self.away:
-            return Unavailable("away")
+        """Compare-and-swap, if the store is available."""
+        if self.is_unavailable:
+            return Unavailable("unreachable")
         return await super().write(key, value, expect, lease)
 
 
 class InlineExecutor(concurrent.futures.Executor):
-    """Runs work at once, so that virtual time does not run ahead of it."""
+    """Runs work at once, so that virtual time does not advance meanwhile."""
 
     def submit(
         self, work: Callable, /, *args: object
@@ -79,7 +87,7 @@
 
 
 class LocalLink:
-    """Asks a keeper of the same process, if the network lets it."""
+    """A link to a keeper of the same process, which the network can break."""
 
     def __init__(self, network: "Network", asker: str, name: str) -> None:
         self.network = network
@@ -88,11 +96,11 @@
 
     @property
     def failures(self) -> int:
-        """Requests in a row that got no reply."""
+        """Number of consecutive requests without a reply."""
         return self.network.failures.get((self.asker, self.name), 0)
 
     def is_heard(self, seconds: float) -> bool:
-        """Whether it answers: each asks the others all the time."""
+        """Whether it replies; all instances regularly send requests to it."""
         network = self.network
         is_there = self.name in network.keepers
         return is_there and not network.is_cut(self.asker, self.name)
@@ -100,7 +108,7 @@
     async def ask(
         self, message: msgspec.Struct, seconds: float
     ) -> msgspec.Struct | None:
-        """Returns the reply; None if request or reply are lost."""
+        """Returns the reply; None if the request or the reply is lost."""
         network = self.network
         keeper = network.keepers.get(self.name)
         if keeper is None or network.is_cut(self.asker, self.name):
@@ -124,7 +132,7 @@
 
 
 class LocalMembers(Members):
-    """Members of the network, as one of them knows them."""
+    """The members of the network as one of them knows them."""
 
     def __init__(self, network: "Network", name: str) -> None:
         super().__init__(network.kv)
@@ -133,7 +141,7 @@
         self.watch.synced = True
 
     def store_silence_seconds(self) -> float:
-        """The store was heard just now; its outages are the store's own."""
+        """Returns 0: tests simulate outages in the store itself."""
         return 0.0
 
     def link(self, member: Member) -> LocalLink:
@@ -142,22 +150,23 @@
 
 
 class Network:
-    """Storage instances and what separates them.
+    """Storage instances and the faults between them.
 
     Attributes:
-        keepers: Those that run, by name.
-        cuts: Pairs that don't reach each other.
-        delays: Seconds that a request takes, by asker and asked.
-        lose_replies: So many further replies get lost.
+        keepers: Running instances by name.
+        cuts: Pairs that are partitioned from each other.
+        delays: Seconds that a request takes, by sender and receiver.
+        lose_replies: Number of further replies that get lost.
         lose_kind: Kind of message whose replies all get lost, or empty.
-        replied: Bytes of replies by the kind of message they answer.
-        failures: Requests in a row without a reply, by asker and asked.
-        domains: Failure domains of those that have none of their own.
+        replied: Bytes of replies by kind of request.
+        failures: Consecutive requests without a reply, by sender and receiver.
+        domains: Failure domain by name of the instance; others have one of
+            their own.
     """
 
     def __init__(self, folder: str, names: list[str]) -> None:
         self.folder = pathlib.Path(folder)
-        self.kv = AwayKv()
+        self.kv = UnavailableKv()
         self.keepers: dict[str, Keeper] = {}
         self.members: dict[str, LocalMembers] = {}
         self.cuts: set[frozenset[str]] = set()
@@ -172,12 +181,12 @@
         self.stack = contextlib.ExitStack()
 
     async def start_all(self) -> None:
-        """Starts all for the first time."""
+        """Starts all instances for the first time."""
         for name in self.names:
             await self.start(name, first=True)
 
     async def start(self, name: str, first: bool = False) -> None:
-        """Starts one on what its disk holds."""
+        """Starts an instance on its disk."""
         members = self.members[name] = self.new_members(name)
         for other in self.names:
             self.introduce(members, other)
@@ -190,48 +199,48 @@
         self.keepers[name] = keeper
 
     def new_members(self, name: str) -> LocalMembers:
-        """Returns what one that starts knows the others by."""
+        """Returns the members as an instance that starts knows them."""
         return LocalMembers(self, name)
 
     def new_disk(self) -> concurrent.futures.Executor:
-        """Returns what one that starts writes its journal with."""
+        """Returns the executor with which an instance writes its journal."""
         return InlineExecutor()
 
     def introduce(self, members: LocalMembers, name: str) -> None:
-        """Lets one know of another, as the store's list would."""
+        """Adds an instance to members, as the store's list would."""
         members.known[name] = self.member(name)
 
     def member(self, name: str) -> Member:
-        """Returns what one registers itself as."""
+        """Returns the entry with which an instance registers."""
         domain = self.domains.get(name, f"domain-{name}")
         return Member(name, domain, f"{name}:1", "run")
 
     def register(self, name: str) -> None:
-        """Lets the store list one; whoever follows the list hears it later."""
+        """Registers an instance in the store, without any watch."""
         value = msgspec.json.encode(self.member(name))
         self.kv.put(PREFIX + name, value)
 
     def list_as(self, member: Member) -> None:
-        """Lets the store list one with another state, which all hear."""
+        """Registers an instance with a new state, which all members receive."""
         value = msgspec.json.encode(member)
         self.kv.put(PREFIX + member.name, value)
         for members in self.members.values():
             members._on_written(PREFIX + member.name, value)
 
     def lapse(self, name: str) -> None:
-        """The others have not seen one's registration for long."""
+        """Lets an instance's registration expire, long ago for the others."""
         self.kv.put(PREFIX + name, None)
         for other, members in self.members.items():
             if other != name and name in members.known:
                 members._drop(name)
             if name in members.lost_at:
-                members.lost_at[name] -= _LONG_SECONDS
+                members.lost_at[name] -= _LONG_AGO_SECONDS
         if name in self.keepers:
             self.keepers[name].is_lease_valid = lambda: False
             self.keepers[name].mark_possibly_excluded()
 
     def list_again(self, name: str) -> None:
-        """One whose registration had lapsed has registered again."""
+        """Registers an instance again whose registration had expired."""
         if name not in self.keepers:
             return
         self.register(name)
@@ -241,18 +250,18 @@
         self.keepers[name].is_lease_valid = lambda: True
 
     async def kill(self, name: str) -> None:
-        """Ends one; what it has not synced is lost."""
+        """Kills an instance; data that it has not synced is lost."""
         keeper = self.keepers.pop(name)
         keeper.journal.waiting.clear()
         await keeper.__aexit__(None, None, None)
 
     async def wipe(self, name: str) -> None:
-        """Ends one and takes its disk."""
+        """Kills an instance and deletes its disk."""
         await self.kill(name)
         shutil.rmtree(self.folder / name)
 
     async def stop_all(self) -> None:
-        """Ends all."""
+        """Stops all instances."""
         tasks = [t for f in self.fronts.values() for t in f.reach.tasks]
         for task in tasks:
             task.cancel()
@@ -262,32 +271,32 @@
             await self.kill(name)
 
     def is_cut(self, one: str, other: str) -> bool:
-        """Whether two don't reach each other."""
+        """Whether two instances are partitioned from each other."""
         return frozenset((one, other)) in self.cuts
 
     async def follow(self, name: str) -> None:
-        """Lets one take in what the others have."""
+        """Makes an instance fetch everything that the others hold."""
         keeper = self.keepers[name]
-        following = Follower(keeper, self.members[name])
-        # Twice: whoever is silent is known only after it was asked.
+        follower = Follower(keeper, self.members[name])
+        # Twice: an unresponsive member is known only after a request to it.
         for _ in range(2):
-            following.update_domain_peers()
-            await self._step_all(following, name)
-        if not keeper.is_recovered and following.is_complete():
+            follower.update_domain_peers()
+            await self._fetch_all(follower, name)
+        if not keeper.is_recovered and follower.is_complete():
             keeper.mark_recovered()
 
-    async def _step_all(self, following: Follower, name: str) -> None:
+    async def _fetch_all(self, follower: Follower, name: str) -> None:
         for member in list(self.members[name].known.values()):
             if member.name == name:
                 continue
             for _ in range(100):
-                if not await following.fetch_page(member):
+                if not await follower.fetch_page(member):
                     break
 
     def front(self, name: str) -> KeeperClient:
-        """Returns a front beside ``name``, which is cut off when that one is.
+        """Returns a front end beside ``name`` that shares its partitions.
 
-        It has just started, and knows of no account.
+        It has just started and knows no account.
         """
         members = LocalMembers(self, name)
         members.known = dict(self.members[name].known)
@@ -297,25 +306,25 @@
     async def reserve(
         self, name: str, ask: Reserve
     ) -> Reserved | Spent | Unsure:
-        """Asks as a new front beside ``name`` does."""
+        """Requests a reservation through a new front end beside ``name``."""
         front = self.front(name)
         self.fronts[ask.attempt] = front
         return await front.permits.reserve(ask)
 
     def settle(self, program: str, attempt: str, tokens: int) -> None:
-        """Books a use in the background, by the front that asked for it."""
+        """Settles a use in the background, through the reserving front end."""
         front = self.fronts[attempt]
         front.permits.settle_later(program, attempt, tokens)
 
     async def pass_time(self, seconds: float) -> None:
-        """Lets fronts and storage instances go on for a while."""
+        """Lets front ends and storage instances run for a while."""
         await asyncio.sleep(seconds)
 
 
 def begin(
     context: Any, names: list[str], domains: dict[str, str] | None = None
 ) -> None:
-    """Starts a scenario's storage instances, which end with it."""
+    """Starts a scenario's storage instances and stops them after it."""
     folder = tempfile.mkdtemp()
     context.loop = asyncio.new_event_loop()
     context.network = Network(folder, names)
--- a/tests/support/opening.py
+++ b/tests/support/opening.py
@@ -19,7 +19,7 @@
 from rattanmill_keeper.homes import HOME_PREFIX
 from rattanmill_keeper.messages import Elsewhere, Open, Opened, Recorded, codec
 from rattanmill_platform import Unavailable
-from support.keepers import AwayKv, LocalLink, LocalMembers, Network
+from support.keepers import LocalLink, LocalMembers, Network, UnavailableKv
 
 _CODEC = codec()
 # More than all that ask in a story.
@@ -53,7 +53,7 @@
 )
 
 
-class LateKv(AwayKv):
+class LateKv(UnavailableKv):
     """A store whose answers are late or lost, and which may write late."""
 
     def __init__(self, dice: random.Random) -> None:
@@ -64,14 +64,14 @@
 
     async def read(self, key: str):  # noqa: ANN201
         """Reads one key, perhaps without an answer."""
-        return await self._troubled(key, lambda: AwayKv.read(self, key))
+        return await self._troubled(key, lambda: UnavailableKv.read(self, key))
 
     async def write(  # noqa: ANN201
         self, key: str, value: bytes, expect: int, lease: str = ""
     ):
         """Writes if the condition holds when it is done, perhaps late."""
         return await self._troubled(
-            key, lambda: AwayKv.write(self, key, value, expect, lease)
+            key, lambda: UnavailableKv.write(self, key, value, expect, lease)
         )
 
     async def _troubled(self, key: str, call: Callable[[], Coroutine]) -> Any:
