--- a/libs/forward/src/rattanmill_forward/turns.py
+++ b/libs/forward/src/rattanmill_forward/turns.py
@@ -145,8 +145,7 @@
             budget=call.token_budget,
             outcome=outcome,
             holders=self.keepers.budgets.holders_of(call.program),
-            granted_alone_by=call.request_id
-            in self.keepers.budgets.granted_alone_by,
+            alone=call.request_id in self.keepers.budgets.granted_alone_by,
             taken=getattr(reply, "taken", None),
             settled=getattr(reply, "settled", None),
             why=getattr(reply, "why", None),
