--- a/tests/features/config_spread.feature
+++ b/tests/features/config_spread.feature
@@ -28,7 +28,7 @@
     Given a system of three failure domains
     When failure domains 1 and 2 are cut off from the service
     And an operator applies a change through instance 0
-    And the key-value service falls silent
+    And the key-value service stops responding
     Then every instance has the accepted change in force
 
   Scenario: A failure domain is cut off from the service for several changes
@@ -41,7 +41,7 @@
     And an operator applies a change through instance 0
     And an operator applies a change through instance 2
     Then every instance has the accepted change in force
-    When all cuts end
+    When all partitions end
     And an operator applies a change through instance 5
     Then every instance has the accepted change in force
     And no instance ever went back to a lower number
@@ -53,7 +53,7 @@
     Given a system of three failure domains
     When instance 3 is frozen
     And an operator applies a change through instance 0
-    And the key-value service falls silent
+    And the key-value service stops responding
     And instance 3 goes on
     Then every instance has the accepted change in force
 
--- a/tests/features/order.feature
+++ b/tests/features/order.feature
@@ -1,88 +1,88 @@
 Feature: Order of a program's turns
   The calls of a program run in order, at one owner at a time.
 
-  Scenario: The same turn is sent at once through two instances
-    The caller's connection is slow and its library sends the turn again
-    through another instance. It must not get two different answers, and the
-    turn must not be paid for twice.
+  Scenario: The same turn is sent concurrently through two instances
+    The caller's connection is slow, and its HTTP library sends the turn again
+    through another instance. The caller must not get two different answers or
+    be charged for the turn twice.
 
     Given a system of three failure domains
     And a new program of failure domain 0
     And the engine makes no progress
-    When turn 1 "Draft Leith." is under way through another domain
+    When turn 1 "Draft Leith." is running through another domain
     And turn 1 "Draft Leith." is also sent through instance 2
-    And the engine goes on
-    Then the call under way gets the kept answer of turn 1
-    And the other call gets the kept answer of turn 1
+    And the engine continues
+    Then the running call gets the stored answer of turn 1
+    And the other call gets the stored answer of turn 1
     And the engine ran 1 more call
-    And every living instance shows turns 1
+    And every running instance shows turns 1
 
-  Scenario: A turn arrives while the one before it runs
-    A program sends its next call without waiting. It would be answered
-    without what the engine said just before.
+  Scenario: A turn arrives while the previous turn runs
+    A program sends its next call without waiting. Run at once, the call would
+    lack the engine's previous answer.
 
     Given a system of three failure domains
     And a new program of failure domain 0
     And the engine makes no progress
-    When turn 1 "Draft Leith." is under way through another domain
+    When turn 1 "Draft Leith." is running through another domain
     And turn 2 "Shorter." is also sent through instance 2
-    And the engine goes on
-    Then the call under way gets the kept answer of turn 1
-    And the other call gets the kept answer of turn 2
-    And every living instance shows turns 1, 2
+    And the engine continues
+    Then the running call gets the stored answer of turn 1
+    And the other call gets the stored answer of turn 2
+    And every running instance shows turns 1, 2
 
-  Scenario: The owner dies between two turns
-    The instance that owns a program is replaced. Its next call must find the
-    program where it was.
+  Scenario: The owner crashes between two turns
+    The instance that owns a program is replaced. The next call must continue
+    from the program's last turn.
 
     Given a system of three failure domains
-    And a program whose first turn is kept
-    When the owner dies
-    And turn 2 "Shorter." is sent through a living instance
+    And a program whose first turn is stored
+    When the owner is killed
+    And turn 2 "Shorter." is sent through a running instance
     Then the answer has status 200
-    And every living instance shows turns 1, 2
+    And every running instance shows turns 1, 2
 
-  Scenario: The owner dies while a turn runs
+  Scenario: The owner crashes while a turn runs
     The caller waits for its answer and must get it from the next owner.
 
     Given a system of three failure domains
-    And a program whose first turn is kept
+    And a program whose first turn is stored
     And the engine makes no progress
-    When turn 2 "Shorter." is under way through another domain
-    And the owner dies
-    And the engine goes on
-    Then the call under way gets the kept answer of turn 2
-    And every living instance shows turns 1, 2
+    When turn 2 "Shorter." is running through another domain
+    And the owner is killed
+    And the engine continues
+    Then the running call gets the stored answer of turn 2
+    And every running instance shows turns 1, 2
 
-  Scenario: An owner is frozen past its lease with a turn in flight
-    The machine stalls. Another instance takes the program over and runs the
-    same turn. The old owner wakes up with a new lease of its own and an
-    engine that still works for it. If it handed out what it gets, the caller
-    would hold an answer that is not in the program's history.
+  Scenario: An owner is paused past its lease with a turn in flight
+    The owner is paused. Another instance takes the program over and runs the
+    same turn. The old owner is resumed, gets a new lease, and its engine still
+    runs its call. If it returned that answer, the caller would have one that
+    is not in the program's history.
 
     Given a system of three failure domains
-    And a program whose first turn is kept
+    And a program whose first turn is stored
     And the engine makes no progress
-    When turn 2 "Shorter." is under way at the owner
-    And the owner is frozen until another instance owns the program
+    When turn 2 "Shorter." is running at the owner
+    And the owner is paused until another instance owns the program
     And turn 2 "Shorter." is sent to the new owner
-    And the old owner goes on and has a lease again
-    And the engine goes on
-    Then the call under way gets the kept answer of turn 2
-    And the other call gets the kept answer of turn 2
-    And every living instance shows turns 1, 2
+    And the old owner is resumed and has a lease again
+    And the engine continues
+    Then the running call gets the stored answer of turn 2
+    And the other call gets the stored answer of turn 2
+    And every running instance shows turns 1, 2
     And exactly one instance owns the program
 
-  Scenario Outline: A failure domain is cut off <from>
+  Scenario Outline: A failure domain is cut off from <from>
     Callers inside the domain still reach its instances and engines. They are
-    served for the whole cut, however long it is, and nothing is lost by it.
+    served during the whole partition, however long it is, and nothing is lost.
 
     Given a system of three failure domains
-    And a program whose first turn is kept
+    And a program whose first turn is stored
     When failure domain 0 is cut off from <from>
     And 4 turns are sent over 2 lease times through its domain
-    And all cuts end
-    Then in the end every living instance shows turns 1, 2, 3, 4, 5
+    And all partitions end
+    Then eventually every running instance shows turns 1, 2, 3, 4, 5
     And exactly one instance owns the program
 
     Examples:
@@ -91,14 +91,14 @@
       | the other domains |
       | everything        |
 
-  Scenario: An engine takes long for a call that came through another domain
-    Instances of different domains seldom hear each other. The one that the
-    caller reached must not take a slow engine for a dead owner: it would send
-    the turn again, or give the caller an error for a turn that is kept.
+  Scenario: An engine is slow for a call that came through another domain
+    Instances of different domains rarely exchange heartbeats. The one that
+    the caller reached must not take a slow engine for a crashed owner: it
+    would send the turn again, or refuse a turn that is stored.
 
     Given a system of three failure domains
-    And a program whose first turn is kept
+    And a program whose first turn is stored
     And the engine is 200 times slower
-    When turn 2 "Shorter." is under way through another domain
-    Then the call under way gets the kept answer of turn 2
+    When turn 2 "Shorter." is running through another domain
+    Then the running call gets the stored answer of turn 2
     And the engine ran 1 more call
--- a/tests/features/outage.feature
+++ b/tests/features/outage.feature
@@ -6,7 +6,7 @@
     at once what cannot be done without it and when to come back.
 
     Given a system of three failure domains
-    And a program whose first turn is kept
+    And a program whose first turn is stored
     When the service is <state>
     Then meanwhile <call> gets <result>
 
@@ -43,11 +43,11 @@
     ran, and goes on when the service is back.
 
     Given a system of three failure domains
-    And a program whose first turn is kept
+    And a program whose first turn is stored
     When the service is away
     And the owner's peer dies and 1 lease time passes
     Then meanwhile a next turn gets ownership_lost
-    When the key-value service answers again
+    When the key-value service responds again
     Then meanwhile a next turn gets 200 and no receipt
 
   Scenario: The owner's peer has not registered again when the next outage comes
@@ -57,10 +57,10 @@
     if it went on, callers would get two answers to one turn from two owners.
 
     Given a system of three failure domains
-    And a program whose first turn is kept
+    And a program whose first turn is stored
     When the owner's peer loses its record and lives on
     And the service is away
     And the owner's peer dies and 1 lease time passes
     Then meanwhile a next turn gets ownership_lost
-    When the key-value service answers again
+    When the key-value service responds again
     Then meanwhile a next turn gets 200 and no receipt
--- a/tests/features/ownership.feature
+++ b/tests/features/ownership.feature
@@ -8,10 +8,10 @@
     does not know that it owns it.
 
     Given a system of three failure domains
-    And a program whose first turn is kept
+    And a program whose first turn is stored
     When responses to writes of "rm/live/shards" are lost 2 times
-    And the owner dies
-    And turn 2 "Shorter." is sent through a living instance
+    And the owner is killed
+    And turn 2 "Shorter." is sent through a running instance
     Then the answer has status 200
     And exactly one instance owns the program
 
@@ -20,11 +20,11 @@
     It must not serve its predecessor's shards without loading them.
 
     Given a system of three failure domains
-    And a program whose first turn is kept
+    And a program whose first turn is stored
     When the owner is killed and restarted at once
-    And turn 2 "Shorter." is sent through a living instance
+    And turn 2 "Shorter." is sent through a running instance
     Then the answer has status 200
-    And every living instance shows turns 1, 2
+    And every running instance shows turns 1, 2
     And exactly one instance owns the program
 
   Scenario: All instances of a domain are replaced at once
@@ -32,18 +32,18 @@
     again with the first instance that starts.
 
     Given a system of three failure domains
-    And a program whose first turn is kept
+    And a program whose first turn is stored
     When all instances of failure domain 0 are killed and one is restarted
-    And turn 2 "Shorter." is sent through a living instance
+    And turn 2 "Shorter." is sent through a running instance
     Then the answer has status 200
-    And every living instance shows turns 1, 2
+    And every running instance shows turns 1, 2
 
   Scenario: Leases are renewed while writes are refused
     The key-value service is over its rate limit and refuses writes. Leases
     must not expire, or owners would change in the middle of an overload.
 
     Given a system of three failure domains
-    And a program whose first turn is kept
+    And a program whose first turn is stored
     When the service refuses all writes but renewals for 3 lease times
     Then no instance has lost its lease
 
@@ -53,15 +53,15 @@
     one must not become the owner again when it is resumed.
 
     Given a system of three failure domains with 3 instances each
-    And a program whose first turn is kept
+    And a program whose first turn is stored
     When responses to writes of "rm/log/alba-east" are lost 9999 times
-    And the owner dies
+    And the owner is killed
     And the next owner is paused as soon as it has claimed the shard
     And no responses are lost any more
-    And turn 2 "Shorter." is sent through a living instance of another domain
+    And turn 2 "Shorter." is sent through a running instance of another domain
     And the paused instance is resumed
     Then the answer has status 200
-    And every living instance shows turns 1, 2
+    And every running instance shows turns 1, 2
     And exactly one instance owns the program
 
   Scenario: A shard moves to an instance that was started
@@ -80,15 +80,15 @@
     must have other owners before the process ends.
 
     Given a system of three failure domains with 3 instances each
-    And a program whose first turn is kept
+    And a program whose first turn is stored
     And the engine makes no progress
-    When turn 2 "Shorter." is under way through another domain
+    When turn 2 "Shorter." is running through another domain
     And the owner is shut down
-    And the engine goes on
-    Then the call under way gets the kept answer of turn 2
+    And the engine continues
+    Then the running call gets the stored answer of turn 2
     And the engine ran 1 more call
     And the old owner exits by itself
-    And every living instance shows turns 1, 2
+    And every running instance shows turns 1, 2
 
   Scenario: An instance starts while an owner is cut off from the service
     Only the owner cannot reach the key-value service. Its lease expires
@@ -97,7 +97,7 @@
     owners would serve the program.
 
     Given a system of three failure domains with 3 instances each
-    And a program whose first turn is kept
+    And a program whose first turn is stored
     When an instance that does not own the program is killed
     And the owner alone is cut off from the service until its record is gone
     And the killed instance is restarted
--- a/tests/features/steps/history.py
+++ b/tests/features/steps/history.py
@@ -8,7 +8,7 @@
     background,
     engine,
     kv_faults,
-    living,
+    running_clients,
     shard_of,
 )
 
@@ -24,7 +24,7 @@
 
 @when('turn {turn:d} "{text}" is sent with the receipts')
 def step_with_receipts(context, turn, text):
-    context.answer = living(context)[-1].chat(
+    context.answer = running_clients(context)[-1].chat(
         text, context.program, turn, rattanmill_receipts=context.receipts
     )
 
@@ -40,7 +40,7 @@
 def step_in_background(context, turn, text):
     context.calls_before = engine(context).stats().get("finished", 0)
     client = context.clients[-1]
-    context.under_way = background(
+    context.running_call = background(
         context, client.chat, text, context.program, turn
     )
 
@@ -90,13 +90,13 @@
 @when('turn {turn:d} "{text}" of the second program is sent with the receipts')
 def step_second_turn(context, turn, text):
     assert context.receipts
-    context.answer = living(context)[0].chat(
+    context.answer = running_clients(context)[0].chat(
         text, context.second, turn, rattanmill_receipts=context.receipts
     )
 
 
 def send_with_receipts(context, text, turn, receipts):
-    context.answer = living(context)[-1].chat(
+    context.answer = running_clients(context)[-1].chat(
         text, context.program, turn, rattanmill_receipts=receipts
     )
 
@@ -157,16 +157,16 @@
 
 @then("the late segment's answer is not in the history")
 def step_late_segment_ignored(context):
-    client = living(context)[-1]
+    client = running_clients(context)[-1]
     path = f"/v1/programs/{context.program}/history"
     answer = client.request("GET", path)
     assert b"stale" not in answer.body, answer
 
 
 @when(
-    "turn {turn:d} with {count:d} characters is sent through a living instance"
+    "turn {turn:d} with {count:d} characters is sent through a running instance"
 )
 def step_long_turn(context, turn, count):
     engine(context).faults(slow_factor=0.01)
-    client = living(context)[-1]
+    client = running_clients(context)[-1]
     context.answer = client.chat("x" * count, context.program, turn)
--- a/tests/features/steps/ownership.py
+++ b/tests/features/steps/ownership.py
@@ -8,10 +8,10 @@
 from behave import given, then, when
 from steps.state import (
     background,
+    current_owners,
     kv_faults,
-    living,
     other_in_domain,
-    owners_now,
+    running_clients,
     shard_of,
     status,
 )
@@ -87,7 +87,8 @@
 
 
 @when(
-    'turn {turn:d} "{text}" is sent through a living instance of another domain'
+    'turn {turn:d} "{text}" is sent through a running instance of another'
+    " domain"
 )
 def step_turn_elsewhere(context, turn, text):
     context.answer = context.clients[-1].chat(text, context.program, turn)
@@ -166,7 +167,7 @@
 def step_all_turns(context):
     for program, answers in context.answered.items():
         path = f"/v1/programs/{program}/history"
-        shown = living(context)[0].request("GET", path).json["turns"]
+        shown = running_clients(context)[0].request("GET", path).json["turns"]
         numbers = [turn["turn"] for turn in shown]
         assert numbers == list(range(1, len(answers) + 1)), numbers
 
@@ -221,7 +222,7 @@
 
 @then("the old owner still owns the program")
 def step_still_owns(context):
-    names = owners_now(context, context.program)
+    names = current_owners(context, context.program)
     assert names == [context.owner.name], names
     assert status(context.owner)["lease"] == "outage", status(context.owner)
     client = context.clients[-1]
--- a/tests/features/steps/state.py
+++ b/tests/features/steps/state.py
@@ -1,4 +1,4 @@
-"""Steps about owners, order and history, for several features."""
+"""Steps about owners, order and history, used by several features."""
 
 import concurrent.futures
 import time
@@ -9,18 +9,18 @@
 from support.client import Client
 
 _ENGINE = "engine-1"
-_FAR = 4
+_OTHER_DOMAIN_INDEX = 4
 
 
 def background(context, work, *arguments):
-    """Starts a call that goes on while the scenario does."""
+    """Starts a call in the background and returns its future."""
     pool = concurrent.futures.ThreadPoolExecutor(1)
     context.scenario_stack.callback(pool.shutdown)
     return pool.submit(work, *arguments)
 
 
 def engine(context):
-    """Returns the engine; its faults end with the scenario."""
+    """Returns the engine; its faults are cleared after the scenario."""
     standin = context.system.standins[_ENGINE]
     context.scenario_stack.callback(standin.faults, hang=False, slow_factor=1.0)
     return standin
@@ -41,24 +41,24 @@
     standin.faults(**faults)
 
 
-def living(context):
-    """Returns clients of all instances that run."""
+def running_clients(context):
+    """Returns the clients of all running instances."""
     return [i.client for i in context.system.instances if i.process.alive]
 
 
 def status(instance):
-    """Returns an instance's view of itself, or None if it is silent."""
+    """Returns an instance's status, or None if it does not respond."""
     answer = Client(instance.http, 2).request("GET", "/v1/admin/status")
     return answer.json if answer.status == 200 else None
 
 
 def shard_of(program):
-    """Returns domain and number of a program's shard as text."""
+    """Returns failure domain and number of a program's shard as text."""
     return ".".join(program.split(".")[:2])
 
 
-def owners_now(context, program):
-    """Returns the names of all instances that say they own a program."""
+def current_owners(context, program):
+    """Returns the names of the instances that report to own a program."""
     return [
         instance.name
         for instance in context.system.instances
@@ -85,10 +85,12 @@
     return [turn["turn"] for turn in answer.json["turns"]]
 
 
-@given("a program whose first turn is kept")
+@given("a program whose first turn is stored")
 def step_program_with_turn(context):
     step_program_in(context, 0)
-    answer = context.clients[_FAR].chat("Draft Leith.", context.program, 1)
+    answer = context.clients[_OTHER_DOMAIN_INDEX].chat(
+        "Draft Leith.", context.program, 1
+    )
     assert answer.status == 200, answer
     context.answers = {1: answer}
 
@@ -104,7 +106,7 @@
         lambda: (
             instance.client.request("POST", "/v1/programs", {}).status == 201
         ),
-        "programs can be kept",
+        "programs can be created",
     )
     context.program = instance.client.create(workspace="leith")
     context.answers = {}
@@ -118,24 +120,24 @@
     engine(context).faults(hang=True)
 
 
-@when("the engine goes on")
-def step_engine_goes_on(context):
+@when("the engine continues")
+def step_engine_continues(context):
     engine(context).faults(hang=False)
 
 
-@when('turn {turn:d} "{text}" is under way through another domain')
-def step_under_way(context, turn, text):
-    client = context.clients[_FAR]
-    context.under_way = background(
+@when('turn {turn:d} "{text}" is running through another domain')
+def step_running_call(context, turn, text):
+    client = context.clients[_OTHER_DOMAIN_INDEX]
+    context.running_call = background(
         context, client.chat, text, context.program, turn
     )
     _wait_for_calls(context, 1)
 
 
-@when('turn {turn:d} "{text}" is under way at the owner')
-def step_under_way_at_owner(context, turn, text):
+@when('turn {turn:d} "{text}" is running at the owner')
+def step_running_at_owner(context, turn, text):
     context.owner = context.system.owner_of(context.program)
-    context.under_way = background(
+    context.running_call = background(
         context, context.owner.client.chat, text, context.program, turn
     )
     _wait_for_calls(context, 1)
@@ -149,21 +151,21 @@
     )
 
 
-@when("the owner dies")
+@when("the owner is killed")
 def step_kill_owner(context):
     context.owner = context.system.owner_of(context.program)
     context.owner.process.kill()
-    context.scenario_stack.callback(_start_again, context, context.owner)
+    context.scenario_stack.callback(_restart, context, context.owner)
 
 
-def _start_again(context, instance):
+def _restart(context, instance):
     if not instance.process.alive:
         context.system.start_instance(instance)
         context.system.wait_ready()
 
 
-@when("the owner is frozen until another instance owns the program")
-def step_freeze(context):
+@when("the owner is paused until another instance owns the program")
+def step_pause(context):
     context.owner = context.system.owner_of(context.program)
     context.owner.process.pause()
     context.scenario_stack.callback(context.owner.process.resume)
@@ -174,7 +176,7 @@
     )
 
 
-@when("the old owner goes on and has a lease again")
+@when("the old owner is resumed and has a lease again")
 def step_resume(context):
     context.owner.process.resume()
     wait_until(
@@ -186,52 +188,52 @@
 @when('turn {turn:d} "{text}" is sent to the new owner')
 def step_new_owner(context, turn, text):
     other = other_in_domain(context, context.owner)
-    context.sent = background(
+    context.other_call = background(
         context, other.client.chat, text, context.program, turn
     )
 
 
-@when('turn {turn:d} "{text}" is sent through a living instance')
-def step_turn_living(context, turn, text):
-    client = living(context)[-1]
+@when('turn {turn:d} "{text}" is sent through a running instance')
+def step_turn_running(context, turn, text):
+    client = running_clients(context)[-1]
     context.answer = client.chat(text, context.program, turn)
     context.answers[turn] = context.answer
 
 
-@then("the call under way gets the kept answer of turn {turn:d}")
-def step_under_way_kept(context, turn):
-    answer = context.under_way.result()
+@then("the running call gets the stored answer of turn {turn:d}")
+def step_running_call_stored(context, turn):
+    answer = context.running_call.result()
     assert answer.status == 200, answer
     assert "receipt" not in answer.json["rattanmill"], answer
-    _check_kept(context, turn, answer.text)
+    _check_stored(context, turn, answer.text)
 
 
-@then("the other call gets the kept answer of turn {turn:d}")
-def step_sent_kept(context, turn):
-    answer = context.sent.result()
+@then("the other call gets the stored answer of turn {turn:d}")
+def step_other_call_stored(context, turn):
+    answer = context.other_call.result()
     assert answer.status == 200, answer
-    _check_kept(context, turn, answer.text)
+    _check_stored(context, turn, answer.text)
 
 
-def _check_kept(context, turn, text):
-    client = living(context)[-1]
+def _check_stored(context, turn, text):
+    client = running_clients(context)[-1]
     path = f"/v1/programs/{context.program}/history"
     answer = client.request("GET", path)
     assert answer.status == 200, answer
-    kept = answer.json["turns"][turn - 1]
-    assert kept["turn"] == turn, answer
-    assert kept["answer"]["content"] == text, (kept, text)
+    stored = answer.json["turns"][turn - 1]
+    assert stored["turn"] == turn, answer
+    assert stored["answer"]["content"] == text, (stored, text)
 
 
-@then("every living instance shows turns {turns}")
+@then("every running instance shows turns {turns}")
 def step_all_show(context, turns):
     expected = [int(turn) for turn in turns.split(",")]
-    # One that was started again lives before it listens.
+    # A restarted process runs before it listens.
     running = [i for i in context.system.instances if i.process.alive]
     wait_until(
-        lambda: all(map(status, running)), "every living instance answers"
+        lambda: all(map(status, running)), "every running instance responds"
     )
-    for client in living(context):
+    for client in running_clients(context):
         found = turns_of(context, client, context.program)
         assert found == expected, (client.address, found)
 
@@ -239,14 +241,14 @@
 @then("exactly one instance owns the program")
 def step_one_owner(context):
     wait_until(
-        lambda: len(owners_now(context, context.program)) == 1,
-        lambda: f"one owner, not {owners_now(context, context.program)}",
+        lambda: len(current_owners(context, context.program)) == 1,
+        lambda: f"one owner, not {current_owners(context, context.program)}",
     )
 
 
 @when("{count:d} turns are sent over {leases:d} lease times through its domain")
 def step_turns_over(context, count, leases):
-    """Sends turns with the receipts that the caller was given so far."""
+    """Sends turns with the receipts that the caller has got so far."""
     seconds = leases * context.system.layout.lease_seconds
     clients = [i.client for i in context.system.in_domain(0)]
     first = max(context.answers, default=0) + 1
@@ -282,25 +284,25 @@
     context.system.cut(domain, kv=True, domains=True)
 
 
-@when("all cuts end")
-def step_heal(context):
+@when("all partitions end")
+def step_partitions_end(context):
     context.system.heal()
     wait_all_held(context)
 
 
-@when("the key-value service falls silent")
-def step_kv_down(context):
+@when("the key-value service stops responding")
+def step_kv_unresponsive(context):
     kv_faults(context, down=True)
 
 
-@when("the key-value service answers again")
-def step_kv_back(context):
+@when("the key-value service responds again")
+def step_kv_responds(context):
     context.system.standins["kv"].faults(down=False)
     wait_all_held(context)
 
 
 def wait_all_held(context):
-    """Waits until all living instances have leases again."""
+    """Waits until all running instances have leases again."""
     wait_until(
         lambda: all(
             (status(i) or {}).get("lease") == "held"
@@ -319,7 +321,9 @@
 @when('turn {turn:d} "{text}" is also sent through instance {index:d}')
 def step_also_sent(context, turn, text, index):
     client = context.clients[index]
-    context.sent = background(context, client.chat, text, context.program, turn)
+    context.other_call = background(
+        context, client.chat, text, context.program, turn
+    )
     wait_until(
         lambda: client.metric("rattanmill_requests_total", kind="chat") >= 1,
         "the instance has the call",
@@ -334,21 +338,24 @@
 
 @then("at most one call is answered with status 200")
 def step_at_most_one(context):
-    answers = [context.under_way.result(), context.sent.result()]
+    answers = [context.running_call.result(), context.other_call.result()]
     good = [answer for answer in answers if answer.status == 200]
     assert len(good) <= 1, answers
 
 
-@then("in the end every living instance shows turns {turns}")
-def step_all_show_at_last(context, turns):
+@then("eventually every running instance shows turns {turns}")
+def step_all_show_eventually(context, turns):
     expected = [int(turn) for turn in turns.split(",")]
     wait_until(
         lambda: all(
             turns_of(context, client, context.program) == expected
-            for client in living(context)
+            for client in running_clients(context)
         ),
         lambda: str(
-            [turns_of(context, c, context.program) for c in living(context)]
+            [
+                turns_of(context, c, context.program)
+                for c in running_clients(context)
+            ]
         ),
     )
 
