--- a/libs/keeper/src/rattanmill_keeper/keeper.py
+++ b/libs/keeper/src/rattanmill_keeper/keeper.py
@@ -147,7 +147,7 @@
         self.crashes = CrashBoard(self.run)
         self.first_start = first_start
         self.is_recovered = first_start
-        # A new or replaced disk may stand for one that held grants made alone.
+        # Grants made alone may have been lost with the previous disk.
         self.alone_from = 0.0 if first_start else float("inf")
         self.is_lease_valid: Callable[[], bool] = lambda: True
         self.unsynced_peers: set[str] = set()
@@ -157,7 +157,7 @@
         self.is_closed = False
         self.may_open = may_open
         self.recorded_roster: set[str] = set()
-        self.sweeper: asyncio.Task | None = None
+        self.sweep_task: asyncio.Task | None = None
 
     async def __aenter__(self) -> Self:
         self._restore()
@@ -168,12 +168,12 @@
         await self.mirrors.__aenter__()
         if self.is_recovered:
             self.mark_recovered()
-        self.sweeper = start_loop("expiry sweep", self._sweep_forever())
+        self.sweep_task = start_loop("expiry sweep", self._sweep_forever())
         return self
 
     async def __aexit__(self, *exc_info: object) -> None:
-        if self.sweeper:
-            self.sweeper.cancel()
+        if self.sweep_task:
+            self.sweep_task.cancel()
         await self.mirrors.__aexit__(*exc_info)
         await self.journal.__aexit__(*exc_info)
 
@@ -223,7 +223,7 @@
             case Lacking(turns=turns):
                 return Lacking(self.table.lacking(turns))
             case Follow():
-                return self._news(message)
+                return self._changes_for(message)
             case Merge(accounts=accounts):
                 return self._merge(accounts)
             case Ping():
@@ -238,34 +238,36 @@
         return Unsure("unknown request type")
 
     async def reserve(
-        self, ask: Reserve
+        self, request: Reserve
     ) -> Recorded | Full | Reserved | Unsure:
         """Records a reservation and replies once it is on disk."""
         if self.is_closed:
             return Unsure("already decommissioned")
-        if ask.alone:
-            return await self._reserve_alone(ask)
+        if request.alone:
+            return await self._reserve_alone(request)
         if not self.is_recovered:
             return Unsure("the instance has not recovered yet")
-        decision = self.ledger.record(ask)
+        decision = self.ledger.record(request)
         if not isinstance(decision, Recording):
             return decision
-        self.intake.add(ask.program)
+        self.intake.add(request.program)
         if decision.account is not None:
-            self.intake.add(HomeOf(ask.program))
+            self.intake.add(HomeOf(request.program))
             self.journal.note(encode(decision.account))
         await self._append(decision.change)
         return decision.reply
 
-    async def _reserve_alone(self, ask: Reserve) -> Reserved | Full | Unsure:
+    async def _reserve_alone(
+        self, request: Reserve
+    ) -> Reserved | Full | Unsure:
         may_begin = (
             self.may_create_share()
             and self.members.are_others_unresponsive(self.name)
         )
-        decision = self.ledger.record_alone(ask, may_begin)
+        decision = self.ledger.record_alone(request, may_begin)
         if not isinstance(decision, ShareChange):
             return decision
-        self.intake.add(ask.program)
+        self.intake.add(request.program)
         await self._append(decision)
         return Reserved(decision.share.taken)
 
@@ -341,34 +343,34 @@
             chain.unlisted = self.members.unlisted()
         return chain
 
-    def settle(self, said: Settle) -> Done:
+    def settle(self, request: Settle) -> Done:
         """Books what a turn has used."""
-        for change in self.ledger.settle(said):
+        for change in self.ledger.settle(request):
             self.journal.note(encode(change))
         return Done()
 
-    async def open(self, ask: Open) -> Opened | Elsewhere | Unsure | CutOff:
+    async def open(self, request: Open) -> Opened | Elsewhere | Unsure | CutOff:
         """Returns where an account is, and opens it if it has none."""
-        found = self.ledger.find(ask.program)
+        found = self.ledger.find(request.program)
         if not isinstance(found, Opening):
             return found
         if not self.is_recovered:
             return Unsure("the instance has not recovered yet")
         if self.is_decommissioning:
             return Unsure("the instance is being decommissioned")
-        if ask.program in self.ledger.opening:
+        if request.program in self.ledger.opening:
             return Unsure("the account is being opened")
-        self.ledger.opening.add(ask.program)
+        self.ledger.opening.add(request.program)
         try:
-            return await self._open(ask, found.holders)
+            return await self._open(request, found.holders)
         finally:
-            self.ledger.opening.discard(ask.program)
+            self.ledger.opening.discard(request.program)
 
     async def _open(
-        self, ask: Open, agreed_before: tuple[str, ...]
+        self, request: Open, agreed_before: tuple[str, ...]
     ) -> Opened | Elsewhere | Unsure | CutOff:
         """Opens an account at new holders, or at those agreed to before."""
-        program = ask.program
+        program = request.program
         holders = agreed_before or self.members.choose_holders(
             self.name, program
         )
@@ -387,8 +389,8 @@
         # Any instance that asked in the meantime got the reply that nothing
         # is granted alone here.
         is_old = bool(agreed_before) or program in self.ledger.homes
-        place = self._place(ask, holders, found, is_old)
-        change = self.ledger.open(Account(program, ask.budget, place))
+        place = self._place(request, holders, found, is_old)
+        change = self.ledger.open(Account(program, request.budget, place))
         if change is None:
             return self.ledger.find(program)
         self.ledger.homes[program] = home
@@ -419,7 +421,7 @@
 
     def _place(
         self,
-        ask: Open,
+        request: Open,
         holders: tuple[str, ...],
         consent: Consent,
         is_old: bool,
@@ -430,29 +432,29 @@
             sharers = frozenset([self.name])
         # Callers allow one turn beyond the budget, for all instances together.
         granting = len(consent.having) + min(len(sharers - consent.having), 1)
-        most = granting * most_alone(ask.budget, ask.tokens)
-        reserved = max(0, most - ask.tokens)
+        max_alone = granting * most_alone(request.budget, request.tokens)
+        reserved = max(0, max_alone - request.tokens)
         return Place(holders, tuple(sorted(sharers)), reserved)
 
-    async def _agree(self, ask: Agree) -> Agreed | Refused | Unsure:
+    async def _agree(self, request: Agree) -> Agreed | Refused | Unsure:
         if not self.is_recovered:
             return Unsure("the instance has not recovered yet")
         if self.is_decommissioning:
             return Unsure("the instance is being decommissioned")
         roster = self.members.roster()
-        if not roster <= set(ask.roster):
+        if not roster <= set(request.roster):
             return Outdated(sorted(roster))
-        unknown = set(ask.roster) - roster
+        unknown = set(request.roster) - roster
         if unknown:
             self.members.last_seen.update(
                 dict.fromkeys(unknown, wall_seconds())
             )
-        decision = self.ledger.agree(ask)
+        decision = self.ledger.agree(request)
         if isinstance(decision, Refused):
             return decision
         if decision is not None:
             await self.write_home(decision)
-        return Agreed(ask.program in self.ledger.shares)
+        return Agreed(request.program in self.ledger.shares)
 
     async def write_home(self, change: HomeChange) -> None:
         """Writes an account's home to the journal and for followers."""
@@ -462,9 +464,9 @@
     async def _append(self, record: Record) -> int:
         return await self.journal.append(encode(record))
 
-    async def _settle(self, said: Settle) -> Done:
+    async def _settle(self, request: Settle) -> Done:
         """Books in order: the reservation may have been sent just before."""
-        return self.settle(said)
+        return self.settle(request)
 
     async def _keep(self, kept: KeptTurn) -> Done | Unsure:
         await self.keep(kept)
@@ -476,10 +478,10 @@
         if self.table.add(kept, segment):
             self.intake.add(kept.turn)
 
-    def _news(self, ask: Follow) -> News:
-        self.members.record_seen(ask.asker, ask.asker_run)
-        after = ask.after if ask.run == self.run else 0
-        self.follower_positions[ask.asker] = after
+    def _changes_for(self, request: Follow) -> News:
+        self.members.record_seen(request.asker, request.asker_run)
+        after = request.after if request.run == self.run else 0
+        self.follower_positions[request.asker] = after
         entries = self.intake.since(after, _PAGE_ENTRIES)
         accounts: list[AccountRef] = []
         homes: list[Home] = []
@@ -493,7 +495,7 @@
             if held := self.table.held.get(entry):
                 turns.append(TurnRef(entry, held.kept.key))
             account = self.ledger.accounts.get(entry)
-            if account and ask.asker in account.place.holders:
+            if account and request.asker in account.place.holders:
                 accounts.append(self.ledger.ref(account))
         position = entries[-1][0] if entries else self.intake.position
         return News(
@@ -505,24 +507,24 @@
             self.is_recovered,
             position < self.intake.position,
             self.members.changed_revision,
-            ask.asker in self.members.known,
-            self._absent_for(ask),
+            request.asker in self.members.known,
+            self._absent_for(request),
         )
 
-    def _absent_for(self, ask: Follow) -> list[str]:
+    def _absent_for(self, request: Follow) -> list[str]:
         """Returns absent members that may hold what an asker's disk has lost.
 
         Members that left before this instance held everything that the asker
         held are not among them.
         """
-        if self.members.is_first_run(ask.asker, ask.asker_run):
+        if self.members.is_first_run(request.asker, request.asker_run):
             return []
-        caught_up_at = self.caught_up_at.get(ask.asker, float("-inf"))
+        caught_up_at = self.caught_up_at.get(request.asker, float("-inf"))
         lost_at = self.members.lost_at
         return [
             name
             for name in self.members.unlisted()
-            if name != ask.asker
+            if name != request.asker
             and lost_at.get(name, float("inf")) >= caught_up_at
         ]
 
--- a/libs/keeper/src/rattanmill_keeper/members.py
+++ b/libs/keeper/src/rattanmill_keeper/members.py
@@ -380,16 +380,16 @@
         # With an unresponsive holder the majority would have none to spare.
         ranked.sort(key=lambda other: bool(self.link(others[other]).failures))
         chosen = [name]
-        taken = collections.Counter([mine.domain if mine else ""])
+        domain_counts = collections.Counter([mine.domain if mine else ""])
         wanted = min(2 * self.tolerated_disk_losses + 1, len(others) + 1)
-        for most in itertools.count(1):
+        for max_per_domain in itertools.count(1):
             for other in ranked:
                 domain = others[other].domain
-                if other in chosen or taken[domain] >= most:
+                if other in chosen or domain_counts[domain] >= max_per_domain:
                     continue
                 if len(chosen) < wanted:
                     chosen.append(other)
-                    taken[domain] += 1
+                    domain_counts[domain] += 1
             if len(chosen) >= wanted:
                 return tuple(chosen)
 
--- a/libs/keeper/src/rattanmill_keeper/mirror.py
+++ b/libs/keeper/src/rattanmill_keeper/mirror.py
@@ -206,18 +206,20 @@
     async def __aexit__(self, *exc_info: object) -> None:
         await self.stack.__aexit__(*exc_info)
 
-    async def serve(self, ask: StoreList | StoreWatch) -> StoreItems | Unsure:
+    async def serve(
+        self, request: StoreList | StoreWatch
+    ) -> StoreItems | Unsure:
         """Returns the reply to a front end's request."""
-        mirror = await self._mirror(ask.prefix)
-        if isinstance(ask, StoreList):
+        mirror = await self._mirror(request.prefix)
+        if isinstance(request, StoreList):
             return mirror.list_all()
         others = {
             await self._mirror(prefix): after
-            for prefix, after in ask.others.items()
+            for prefix, after in request.others.items()
         }
-        revisions = {mirror: ask.after, **others}
-        await wait_for_change(self.change_event, revisions, ask.seconds)
-        reply = mirror.changes_after(ask.after)
+        revisions = {mirror: request.after, **others}
+        await wait_for_change(self.change_event, revisions, request.seconds)
+        reply = mirror.changes_after(request.after)
         if isinstance(reply, StoreItems):
             reply.others = _changes_by_prefix(others)
         return reply
--- a/libs/keeper/src/rattanmill_keeper/reach.py
+++ b/libs/keeper/src/rattanmill_keeper/reach.py
@@ -107,7 +107,7 @@
             return await self._ask(
                 member, message, unresponsive_seconds or seconds
             )
-        if self._silence([member]) > _STALE_SECONDS:
+        if self._silence_seconds([member]) > _STALE_SECONDS:
             return await self._ask_stale(member, message, seconds)
         return await self._ask(member, message, seconds)
 
@@ -148,10 +148,14 @@
         """
         if not self.members.known:
             return True
-        if self._silence(self.members.known.values()) > _CUT_OFF_SECONDS:
+        if (
+            self._silence_seconds(self.members.known.values())
+            > _CUT_OFF_SECONDS
+        ):
             return True
         return (
-            self._silence(self._far()) > _CUT_OFF_SECONDS
+            self._silence_seconds(self._members_of_other_domains())
+            > _CUT_OFF_SECONDS
             and not self.store_answers
             and len(self.members.writable_domains()) > 1
         )
@@ -173,7 +177,7 @@
     def domain_silence_seconds(self) -> dict[str, float]:
         """Returns the seconds since each domain's last reply."""
         return {
-            domain: self._silence(members)
+            domain: self._silence_seconds(members)
             for domain, members in self.members.writable_domains().items()
         }
 
@@ -199,14 +203,14 @@
             self._ping_quiet(members)
         unpinged = [self._unpinged_seconds(members) for members in domains]
         rests = [
-            min(self._silence(members), since)
+            min(self._silence_seconds(members), since)
             for members, since in zip(domains, unpinged, strict=True)
         ]
-        least = _PING_SECONDS - _ALIGN_SECONDS
-        due = [at for at, rest in enumerate(rests) if rest > least]
+        min_rest = _PING_SECONDS - _ALIGN_SECONDS
+        due = [at for at, rest in enumerate(rests) if rest > min_rest]
         # Crashes and changes of the list of members are reported in pongs only.
         # Every member gets these reports, so any domain will do.
-        if domains and not due and min(unpinged) > least:
+        if domains and not due and min(unpinged) > min_rest:
             due = [unpinged.index(max(unpinged))]
         for at in due:
             self._ping_first(domains[at])
@@ -216,7 +220,10 @@
 
     def _probe_if_in_doubt(self) -> None:
         """Probes the store while it may be all that can be reached."""
-        is_in_doubt = self._silence(self._far()) > _DOUBT_SECONDS
+        is_in_doubt = (
+            self._silence_seconds(self._members_of_other_domains())
+            > _DOUBT_SECONDS
+        )
         since = loop_seconds() - self.store_probed_at
         if (is_in_doubt or not self.store_answers) and since > _PROBE_SECONDS:
             self.store_probed_at = loop_seconds()
@@ -258,7 +265,7 @@
             is_watched = place <= _WATCHED_OTHERS or self.is_unresponsive(
                 member
             )
-            is_quiet = self._silence([member]) > _QUIET_SECONDS
+            is_quiet = self._silence_seconds([member]) > _QUIET_SECONDS
             if is_watched and is_quiet and not self._is_pinged(member):
                 self._start_ping(member)
 
@@ -289,7 +296,10 @@
     async def probe_store(self) -> None:
         """Checks whether the store replies if other domains don't."""
         answers = True
-        if self._silence(self._far()) > _DOUBT_SECONDS:
+        if (
+            self._silence_seconds(self._members_of_other_domains())
+            > _DOUBT_SECONDS
+        ):
             answers = await self._store_answers()
         if answers != self.store_answers:
             log_event("store_probed", answers=answers)
@@ -312,15 +322,14 @@
             self.crashes.take(member, pong)
             self.members.expect_revision(pong.revision)
 
-    def _far(self) -> list[Member]:
-        """Returns the members of other failure domains."""
+    def _members_of_other_domains(self) -> list[Member]:
         return [
             member
             for member in self.members.known.values()
             if member.domain != self.domain
         ]
 
-    def _silence(self, members: Iterable[Member]) -> float:
+    def _silence_seconds(self, members: Iterable[Member]) -> float:
         """Returns the seconds since the last reply of any of the members."""
         never = float("-inf")
         answered_at = self.answered_at
--- a/libs/keeper/src/rattanmill_keeper/relayed.py
+++ b/libs/keeper/src/rattanmill_keeper/relayed.py
@@ -121,8 +121,10 @@
         def watch_directly() -> Awaitable:
             # Shorter if a member can take over again.
             is_short = self.relayed or prefix in self.mirrored
-            most = min(seconds, _DIRECT_WATCH_SECONDS) if is_short else seconds
-            return self.direct.watch(prefix, after, most)
+            watch_seconds = (
+                min(seconds, _DIRECT_WATCH_SECONDS) if is_short else seconds
+            )
+            return self.direct.watch(prefix, after, watch_seconds)
 
         message = StoreWatch(prefix, after, WATCH_SECONDS)
         first = None
--- a/tests/features/steps/following.py
+++ b/tests/features/steps/following.py
@@ -70,9 +70,9 @@
     run_in(context, go_on)
 
 
-@then("its last turn made them fetch no more than {most:d} bytes")
-def step_fetched(context, most):
-    assert context.fetched <= most, context.fetched
+@then("its last turn made them fetch no more than {limit:d} bytes")
+def step_fetched(context, limit):
+    assert context.fetched <= limit, context.fetched
 
 
 @when(
@@ -132,12 +132,12 @@
 
 @then(
     "it knows the homes of all accounts, and has written no more than"
-    " {most:d} times"
+    " {limit:d} times"
 )
-def step_written(context, most):
+def step_written(context, limit):
     ledger = context.network.keepers[context.network.names[-1]].ledger
     assert ledger.accounts.keys() | ledger.homes.keys() == context.programs
-    assert context.sync.call_count <= most, context.sync.call_count
+    assert context.sync.call_count <= limit, context.sync.call_count
 
 
 def holders(context):
--- a/tests/features/steps/mirror.py
+++ b/tests/features/steps/mirror.py
@@ -150,10 +150,10 @@
     )
 
 
-@then('it has received the change of "{prefix}" within {most:f} seconds')
-def step_received(context, prefix, most):
+@then('it has received the change of "{prefix}" within {limit:f} seconds')
+def step_received(context, prefix, limit):
     assert prefix in context.received_at, context.received_at
-    assert context.received_at[prefix] <= most, context.received_at
+    assert context.received_at[prefix] <= limit, context.received_at
 
 
 @when(
@@ -175,9 +175,9 @@
     context.rate = run_virtually(watch()) / seconds
 
 
-@then("it has sent at most {most:d} watch requests a second")
-def step_rate(context, most):
-    assert context.rate <= most, context.rate
+@then("it has sent at most {limit:d} watch requests a second")
+def step_rate(context, limit):
+    assert context.rate <= limit, context.rate
 
 
 @when(
@@ -214,15 +214,16 @@
 
 
 @then(
-    'a front end of "{domain}" has received each change within {most:f} seconds'
+    'a front end of "{domain}" has received each change within {limit:f}'
+    " seconds"
 )
-def step_received_each(context, domain, most):
+def step_received_each(context, domain, limit):
     took = [
         run_virtually(_play_freeze(context, domain, *play))
         for play in context.plays
     ]
     print("received after", sorted(round(each, 2) for each in took))
-    assert max(took) <= most, sorted(took)
+    assert max(took) <= limit, sorted(took)
 
 
 class WaitingKv(MemoryKv):
@@ -301,9 +302,9 @@
     context.took = run_virtually(play())
 
 
-@then("it receives each change within {most:f} seconds")
-def step_receives(context, most):
-    assert max(context.took) <= most, context.took
+@then("it receives each change within {limit:f} seconds")
+def step_receives(context, limit):
+    assert max(context.took) <= limit, context.took
 
 
 class Outage:
@@ -364,10 +365,10 @@
 
 
 @then(
-    "a front end that watches receives nothing for {least:f} seconds, and"
+    "a front end that watches receives nothing for {minimum:f} seconds, and"
     " then its removal"
 )
-def step_removed(context, least):
+def step_removed(context, minimum):
     after, value = context.removed
     assert value is None
-    assert least <= after <= least + 0.5, after
+    assert minimum <= after <= minimum + 0.5, after
--- a/tests/features/steps/signs.py
+++ b/tests/features/steps/signs.py
@@ -155,8 +155,8 @@
 )
 def step_ping_rate(context, each):
     count, domains = context.shape
-    most = domains * each + (count - domains) * 2
-    assert context.pings <= most * context.seconds * 1.02, context.pings
+    limit = domains * each + (count - domains) * 2
+    assert context.pings <= limit * context.seconds * 1.02, context.pings
 
 
 @then("it considered no domain silent and no storage instance unresponsive")
@@ -220,9 +220,9 @@
     assert max(took for _, took in context.found) <= seconds, context.found
 
 
-@then("it sent at most {most:d} pings a second")
-def step_total_ping_rate(context, most):
-    assert context.pings <= most * context.seconds, context.pings
+@then("it sent at most {limit:d} pings a second")
+def step_total_ping_rate(context, limit):
+    assert context.pings <= limit * context.seconds, context.pings
 
 
 @when("one of them dies and is needed {after:f} seconds later, {plays:d} times")
@@ -248,9 +248,9 @@
     ]
 
 
-@then("the request was given up within {most:f} seconds")
-def step_given_up(context, most):
-    assert max(took for took, _ in context.found) <= most, context.found
+@then("the request was given up within {limit:f} seconds")
+def step_given_up(context, limit):
+    assert max(took for took, _ in context.found) <= limit, context.found
 
 
 @then("it is still considered unresponsive 10 seconds later")
@@ -311,17 +311,17 @@
 
 
 @then(
-    "it pinged the first of each domain at most {most:d} times a second in"
+    "it pinged the first of each domain at most {limit:d} times a second in"
     " total"
 )
-def step_first_ping_rate(context, most):
-    assert context.pings <= most * context.seconds, context.pings
+def step_first_ping_rate(context, limit):
+    assert context.pings <= limit * context.seconds, context.pings
 
 
-@then("it was never without a pong for more than {most:f} seconds")
-def step_pong_gaps(context, most):
+@then("it was never without a pong for more than {limit:f} seconds")
+def step_pong_gaps(context, limit):
     gaps = [after - at for at, after in itertools.pairwise(context.pongs)]
-    assert max(gaps) <= most, max(gaps)
+    assert max(gaps) <= limit, max(gaps)
 
 
 @when("another front end reports a crash, {plays:d} times at random moments")
@@ -342,6 +342,6 @@
     context.found = [play(context, seed, scene) for seed in range(plays)]
 
 
-@then("it has received the crash within {most:f} seconds")
-def step_received_crash(context, most):
-    assert max(context.found) <= most, sorted(context.found)
+@then("it has received the crash within {limit:f} seconds")
+def step_received_crash(context, limit):
+    assert max(context.found) <= limit, sorted(context.found)
