--- a/libs/keeper/src/rattanmill_keeper/keeper.py
+++ b/libs/keeper/src/rattanmill_keeper/keeper.py
@@ -99,8 +99,8 @@
             Until then it opens no account, agrees to none and does not report
             any turn as nonexistent.
         is_decommissioning: Whether it is being decommissioned.
-        is_closed: Whether it rejects all writes because the other instances
-            already hold all of its data.
+        is_closed: Whether it confirms no writes any more because the other
+            instances already hold all of its data.
         run: ID of this run of the process.
         is_lease_valid: Returns whether the registration lease can't have
             expired, so that the others still count this instance.
--- a/tests/features/steps/membership.py
+++ b/tests/features/steps/membership.py
@@ -83,7 +83,7 @@
     context.reply_seconds = seconds
 
 
-def play(context, seconds):
+def known_after(context, seconds):
     """Returns the names known some time after the registration."""
 
     async def follow():
@@ -108,12 +108,12 @@
 
 @then('"{name}" is known after {seconds:g} seconds')
 def step_known(context, name, seconds):
-    assert name in play(context, seconds)
+    assert name in known_after(context, seconds)
 
 
 @then('"{name}" is not known after {seconds:g} seconds')
 def step_unknown(context, name, seconds):
-    assert name not in play(context, seconds)
+    assert name not in known_after(context, seconds)
 
 
 @then("the store was read once for it")
--- a/tests/features/steps/mirror.py
+++ b/tests/features/steps/mirror.py
@@ -181,14 +181,14 @@
 
 
 @when(
-    'that of "{domain}" freezes and "{changed}" changes, {plays:d} times at'
+    'that of "{domain}" freezes and "{changed}" changes, {runs:d} times at'
     " random moments"
 )
-def step_freeze(context, domain, changed, plays):
-    context.plays = [(seed, domain, changed) for seed in range(plays)]
+def step_freeze(context, domain, changed, runs):
+    context.runs = [(seed, domain, changed) for seed in range(runs)]
 
 
-async def _play_freeze(context, domain, seed, frozen, changed):
+async def _run_freeze(context, domain, seed, frozen, changed):
     """Returns the seconds until the change was received."""
     random.seed(seed)
     kv = RelayedKv(Outage(), domain, _PREFIXES)
@@ -219,8 +219,8 @@
 )
 def step_received_each(context, domain, limit):
     took = [
-        run_virtually(_play_freeze(context, domain, *play))
-        for play in context.plays
+        run_virtually(_run_freeze(context, domain, *run))
+        for run in context.runs
     ]
     print("received after", sorted(round(each, 2) for each in took))
     assert max(took) <= limit, sorted(took)
@@ -275,7 +275,7 @@
 
 @when('"{changed}" changes {times:d} times at random moments')
 def step_change(context, changed, times):
-    async def play():
+    async def run():
         random.seed(times)
         kv = RelayedKv(context.store, "east", _PREFIXES)
         kv.members = MirrorOnly(context.store)
@@ -299,7 +299,7 @@
                 took.append(received_at[changed] - began)
         return took
 
-    context.took = run_virtually(play())
+    context.took = run_virtually(run())
 
 
 @then("it receives each change within {limit:f} seconds")
@@ -340,7 +340,7 @@
     " missing after it"
 )
 def step_outage(context, seconds):
-    async def play():
+    async def run():
         store = context.store
         mirror = Mirror(store, "servers/")
         now = asyncio.get_running_loop().time
@@ -361,7 +361,7 @@
                 if reply.items:
                     return now() - began, reply.items[0].value
 
-    context.removed = run_virtually(play())
+    context.removed = run_virtually(run())
 
 
 @then(
--- a/tests/features/steps/signs.py
+++ b/tests/features/steps/signs.py
@@ -19,7 +19,7 @@
 _SAMPLE_SECONDS = 0.01
 _WARM_UP_SECONDS = 2.0
 _SILENT_SECONDS = 0.4
-_PLAYS = 50
+_RUNS = 50
 
 
 class PingedLink:
@@ -111,7 +111,7 @@
             reach.spawn(reach.ask(member, Fetch("t"), 0.3, 0.06))
 
 
-def play(context, seed, scene):
+def run_scene(context, seed, scene):
     """Runs a scene of a front end that has sent pings for a while already."""
 
     async def run():
@@ -146,7 +146,7 @@
         return watcher, sum(link.pings for link in members.links.values())
 
     context.seconds = seconds
-    context.watcher, context.pings = play(context, 1, scene)
+    context.watcher, context.pings = run_scene(context, 1, scene)
 
 
 @then(
@@ -165,8 +165,8 @@
     assert max(context.watcher.silences.values()) < _SILENT_SECONDS
 
 
-@when("one of them dies, {plays:d} times at random moments")
-def step_die(context, plays):
+@when("one of them dies, {runs:d} times at random moments")
+def step_die(context, runs):
     async def scene(watcher, members):
         name = random.choice(list(members.links))
         members.links[name].is_reachable = False
@@ -174,7 +174,7 @@
         await watcher.watch(3.0)
         return watcher.unresponsive_at[name] - died_at, watcher.silences
 
-    context.found = [play(context, seed, scene) for seed in range(plays)]
+    context.found = [run_scene(context, seed, scene) for seed in range(runs)]
 
 
 @then("it is considered unresponsive within {seconds:g} seconds")
@@ -188,8 +188,8 @@
     assert max(longest) < _SILENT_SECONDS, longest
 
 
-@when("one domain is partitioned, {plays:d} times at random moments")
-def step_partition(context, plays):
+@when("one domain is partitioned, {runs:d} times at random moments")
+def step_partition(context, runs):
     async def scene(watcher, members):
         partitioned = [
             link for link in members.links.values() if link.domain == "d1"
@@ -207,7 +207,7 @@
         await watcher.until("d1", False)
         return noticed, now() - healed_at
 
-    context.found = [play(context, seed, scene) for seed in range(plays)]
+    context.found = [run_scene(context, seed, scene) for seed in range(runs)]
 
 
 @then("the domain has been silent for 0.4 seconds within {seconds:g} seconds")
@@ -225,8 +225,8 @@
     assert context.pings <= limit * context.seconds, context.pings
 
 
-@when("one of them dies and is needed {after:f} seconds later, {plays:d} times")
-def step_needed(context, after, plays):
+@when("one of them dies and is needed {after:f} seconds later, {runs:d} times")
+def step_needed(context, after, runs):
     async def scene(watcher, members):
         now = asyncio.get_running_loop().time
         # Among those that come last in the front end's order.
@@ -241,7 +241,7 @@
         await watcher.watch(10.0)
         return took, watcher.silences, watcher.reach.is_unresponsive(member)
 
-    found = [play(context, seed, scene) for seed in range(plays)]
+    found = [run_scene(context, seed, scene) for seed in range(runs)]
     context.found = [(took, silences) for took, silences, _ in found]
     context.are_unresponsive = [
         is_unresponsive for *_, is_unresponsive in found
@@ -258,8 +258,8 @@
     assert all(context.are_unresponsive), context.are_unresponsive
 
 
-@when("the first of a domain freezes, {plays:d} times at random moments")
-def step_first_freezes(context, plays):
+@when("the first of a domain freezes, {runs:d} times at random moments")
+def step_first_freezes(context, runs):
     async def scene(watcher, members):
         name = random.choice(list(members.ranked().values()))[0].name
         members.links[name].is_reachable = False
@@ -267,13 +267,13 @@
         await watcher.watch(3.0)
         return watcher.unresponsive_at[name] - froze_at, watcher.silences
 
-    context.found = [play(context, seed, scene) for seed in range(plays)]
+    context.found = [run_scene(context, seed, scene) for seed in range(runs)]
 
 
 @when(
-    "all but one of a domain are partitioned, {plays:d} times at random moments"
+    "all but one of a domain are partitioned, {runs:d} times at random moments"
 )
-def step_all_but_one(context, plays):
+def step_all_but_one(context, runs):
     async def scene(watcher, members):
         domain_members = random.choice(list(members.ranked().values()))
         reached = random.choice(domain_members)
@@ -282,7 +282,7 @@
         await watcher.watch(5.0)
         return 0.0, watcher.silences
 
-    context.found = [play(context, seed, scene) for seed in range(plays)]
+    context.found = [run_scene(context, seed, scene) for seed in range(runs)]
 
 
 @when(
@@ -302,7 +302,7 @@
 
     context.rate = rate
     context.seconds = seconds
-    context.watcher, context.pings, context.pongs = play(context, 1, scene)
+    context.watcher, context.pings, context.pongs = run_scene(context, 1, scene)
 
 
 @given("it sends {rate:d} requests a second")
@@ -324,8 +324,8 @@
     assert max(gaps) <= limit, max(gaps)
 
 
-@when("another front end reports a crash, {plays:d} times at random moments")
-def step_report_crash(context, plays):
+@when("another front end reports a crash, {runs:d} times at random moments")
+def step_report_crash(context, runs):
     async def scene(watcher, members):
         now = asyncio.get_running_loop().time
         received = asyncio.Event()
@@ -339,7 +339,7 @@
             await received.wait()
         return now() - reported_at
 
-    context.found = [play(context, seed, scene) for seed in range(plays)]
+    context.found = [run_scene(context, seed, scene) for seed in range(runs)]
 
 
 @then("it has received the crash within {limit:f} seconds")
--- a/tests/features/steps/views.py
+++ b/tests/features/steps/views.py
@@ -142,7 +142,7 @@
     )
 
 
-async def _play(context, seconds):
+async def _run(context, seconds):
     """Returns what the front end knows at times after the store's return."""
     store = WatchedStore()
     store.put(context.prefix + "one", b"one")
@@ -186,22 +186,22 @@
     return found
 
 
-def plays(context, seconds):
+def runs(context, seconds):
     """Yields what front ends know in several runs, by time since the return."""
     for seed in range(_SEEDS):
         random.seed(seed)
-        yield seed, run_virtually(_play(context, seconds))
+        yield seed, run_virtually(_run(context, seconds))
 
 
 @then('{seconds:f} seconds after its return the front end still knows "{name}"')
 def step_still(context, seconds, name):
-    for seed, found in plays(context, seconds):
+    for seed, found in runs(context, seconds):
         assert name in found[-1][1], (seed, found[-1])
 
 
 @then('{seconds:f} seconds after its return the front end knows only "{name}"')
 def step_only(context, seconds, name):
-    for seed, found in plays(context, seconds):
+    for seed, found in runs(context, seconds):
         assert found[-1][1] == {name}, (seed, found[-1])
 
 
@@ -210,7 +210,7 @@
     ' "{names}"'
 )
 def step_from_to(context, first, last, names):
-    for seed, found in plays(context, last):
+    for seed, found in runs(context, last):
         wrong = [
             (at, known)
             for at, known in found
@@ -233,7 +233,7 @@
         self.silences = {name: 10.0}
         self.is_reachable = False
 
-    async def play(self, phases):
+    async def run(self, phases):
         """Runs phases of changes and seconds; returns the domains cut off."""
 
         async def try_domain(domain):
@@ -277,10 +277,10 @@
 
 @then('"{name}" is still considered cut off')
 def step_still_cut(context, name):
-    assert name in run_virtually(context.domain.play(context.phases))
+    assert name in run_virtually(context.domain.run(context.phases))
     context.domain = CutDomain(name)
 
 
 @then('"{name}" is not considered cut off')
 def step_not_cut(context, name):
-    assert name not in run_virtually(context.domain.play(context.phases))
+    assert name not in run_virtually(context.domain.run(context.phases))
--- a/tests/features/steps/watches.py
+++ b/tests/features/steps/watches.py
@@ -274,7 +274,7 @@
     context.plan.append((seconds, lambda store, watch: watch.__aexit__()))
 
 
-async def _play(context, seconds):
+async def _run(context, seconds):
     """Runs the outage, the planned steps after it, and some seconds more.
 
     Returns:
@@ -306,13 +306,13 @@
 
 @then("the store does not list it {seconds:f} seconds later")
 def step_not_listed(context, seconds):
-    removals, listed = run_virtually(_play(context, seconds))
+    removals, listed = run_virtually(_run(context, seconds))
     assert not any(listed) and not removals, (removals, listed)
 
 
 @then("no removal is reported within {seconds:f} seconds")
 def step_none(context, seconds):
-    removals, context.listed = run_virtually(_play(context, seconds))
+    removals, context.listed = run_virtually(_run(context, seconds))
     assert not removals, removals
 
 
@@ -321,7 +321,7 @@
     " later"
 )
 def step_one(context, seconds, after):
-    removals, context.listed = run_virtually(_play(context, seconds))
+    removals, context.listed = run_virtually(_run(context, seconds))
     assert len(removals) == 1, removals
     assert after - 0.001 <= removals[0] <= after + _SLACK_SECONDS, removals
 
