--- a/tests/features/steps/mirror.py
+++ b/tests/features/steps/mirror.py
@@ -150,10 +150,10 @@
     )
 
 
-@then('it has received the change of "{prefix}" within {most:f} seconds')
-def step_received(context, prefix, most):
+@then('it has received the change of "{prefix}" within {limit:f} seconds')
+def step_received(context, prefix, limit):
     assert prefix in context.received_at, context.received_at
-    assert context.received_at[prefix] <= most, context.received_at
+    assert context.received_at[prefix] <= limit, context.received_at
 
 
 @when(
@@ -175,20 +175,20 @@
     context.rate = run_virtually(watch()) / seconds
 
 
-@then("it has sent at most {most:d} watch requests a second")
-def step_rate(context, most):
-    assert context.rate <= most, context.rate
+@then("it has sent at most {limit:d} watch requests a second")
+def step_rate(context, limit):
+    assert context.rate <= limit, context.rate
 
 
 @when(
-    'that of "{domain}" freezes and "{changed}" changes, {plays:d} times at'
+    'that of "{domain}" freezes and "{changed}" changes, {runs:d} times at'
     " random moments"
 )
-def step_freeze(context, domain, changed, plays):
-    context.plays = [(seed, domain, changed) for seed in range(plays)]
+def step_freeze(context, domain, changed, runs):
+    context.runs = [(seed, domain, changed) for seed in range(runs)]
 
 
-async def _play_freeze(context, domain, seed, frozen, changed):
+async def _run_freeze(context, domain, seed, frozen, changed):
     """Returns the seconds until the change was received."""
     random.seed(seed)
     kv = RelayedKv(Outage(), domain, _PREFIXES)
@@ -214,15 +214,16 @@
 
 
 @then(
-    'a front end of "{domain}" has received each change within {most:f} seconds'
+    'a front end of "{domain}" has received each change within {limit:f}'
+    " seconds"
 )
-def step_received_each(context, domain, most):
+def step_received_each(context, domain, limit):
     took = [
-        run_virtually(_play_freeze(context, domain, *play))
-        for play in context.plays
+        run_virtually(_run_freeze(context, domain, *run))
+        for run in context.runs
     ]
     print("received after", sorted(round(each, 2) for each in took))
-    assert max(took) <= most, sorted(took)
+    assert max(took) <= limit, sorted(took)
 
 
 class WaitingKv(MemoryKv):
@@ -274,7 +275,7 @@
 
 @when('"{changed}" changes {times:d} times at random moments')
 def step_change(context, changed, times):
-    async def play():
+    async def run():
         random.seed(times)
         kv = RelayedKv(context.store, "east", _PREFIXES)
         kv.members = MirrorOnly(context.store)
@@ -298,12 +299,12 @@
                 took.append(received_at[changed] - began)
         return took
 
-    context.took = run_virtually(play())
+    context.took = run_virtually(run())
 
 
-@then("it receives each change within {most:f} seconds")
-def step_receives(context, most):
-    assert max(context.took) <= most, context.took
+@then("it receives each change within {limit:f} seconds")
+def step_receives(context, limit):
+    assert max(context.took) <= limit, context.took
 
 
 class Outage:
@@ -339,7 +340,7 @@
     " missing after it"
 )
 def step_outage(context, seconds):
-    async def play():
+    async def run():
         store = context.store
         mirror = Mirror(store, "servers/")
         now = asyncio.get_running_loop().time
@@ -360,14 +361,14 @@
                 if reply.items:
                     return now() - began, reply.items[0].value
 
-    context.removed = run_virtually(play())
+    context.removed = run_virtually(run())
 
 
 @then(
-    "a front end that watches receives nothing for {least:f} seconds, and"
+    "a front end that watches receives nothing for {minimum:f} seconds, and"
     " then its removal"
 )
-def step_removed(context, least):
+def step_removed(context, minimum):
     after, value = context.removed
     assert value is None
-    assert least <= after <= least + 0.5, after
+    assert minimum <= after <= minimum + 0.5, after
