--- a/libs/policy/src/rattanmill_policy/scheduler.py
+++ b/libs/policy/src/rattanmill_policy/scheduler.py
@@ -32,7 +32,7 @@
 _RECHECK_SECONDS = 0.25
 _LOOKAHEAD_CALLS = 8
 _MIN_RUN_SECONDS = 0.01
-_MIN_RATE = 0.1
+_MIN_COMPLETIONS_PER_SECOND = 0.1
 _MIN_TIMEOUT_SECONDS = 2.0
 _MAX_TIMEOUT_SECONDS = 60.0
 _TIMEOUT_FACTOR = 4.0
@@ -148,7 +148,9 @@
             return None
         state, now = self.state, loop_seconds()
         group = state.group_of(work)
-        rate = max(group.completions.per_second(now), _MIN_RATE)
+        rate = max(
+            group.completions.per_second(now), _MIN_COMPLETIONS_PER_SECOND
+        )
         endpoint_wait = choice.estimate.wait if choice else 0.0
         delay = endpoint_wait + len(group.waiting) / rate
         if work.is_new and not work.tried:
@@ -266,12 +268,12 @@
 
     async def _wait(self, work: Work) -> Placement | Refusal:
         """Waits until the call is placed or its deadline has passed."""
-        began = loop_seconds()
+        started_at = loop_seconds()
         group = self.state.group_of(work)
-        deadline = began
+        deadline = started_at
         if self.rules.order:
             deadline = self._virtual_deadline(
-                work, began
+                work, started_at
             ) + self._workspace_backlog(work, group)
         waiter = Waiter(
             deadline, work, asyncio.get_running_loop().create_future()
@@ -287,7 +289,7 @@
         finally:
             if waiter in group.waiting:
                 group.waiting.remove(waiter)
-            self._observe_wait(work, loop_seconds() - began)
+            self._observe_wait(work, loop_seconds() - started_at)
 
     async def _wait_for_place(
         self, waiter: Waiter, group: EndpointGroup
--- a/libs/policy/src/rattanmill_policy/speeds.py
+++ b/libs/policy/src/rattanmill_policy/speeds.py
@@ -203,8 +203,8 @@
         An endpoint that has slowed down or hangs finishes no call and so gives
         no new measurement; the age of its oldest call still shows it.
         """
-        for began, expected in self.started.values():
-            return max(1.0, (now - began) / max(expected, 0.01) / 2)
+        for started_at, expected in self.started.values():
+            return max(1.0, (now - started_at) / max(expected, 0.01) / 2)
         return 1.0
 
 
--- a/libs/policy/src/rattanmill_policy/table.py
+++ b/libs/policy/src/rattanmill_policy/table.py
@@ -9,7 +9,7 @@
 from rattanmill_policy.outcome import Outcome
 
 _SUSPECT_AVOID_SECONDS = 2.0
-_MAX_FAILURES = 3
+_CLOSE_AFTER_FAILURES = 3
 _UNLISTED_RETENTION_SECONDS = 300.0
 
 # Outcomes that count as a failure of the endpoint.
@@ -195,7 +195,7 @@
             self.close(state, Aspect.DEPARTURE, Sign.DRAINING)
         elif outcome in _ENDPOINT_FAILURES:
             state.failures += 1
-            if state.failures >= _MAX_FAILURES:
+            if state.failures >= _CLOSE_AFTER_FAILURES:
                 self.close(state, Aspect.REACH, Sign.FAILING)
             self.avoid(state.endpoint.name, _SUSPECT_AVOID_SECONDS)
             self.on_suspect(state)
--- a/tests/features/admission.feature
+++ b/tests/features/admission.feature
@@ -25,7 +25,7 @@
 
   Scenario: Started programs precede new ones
     A program is halfway through when others start. If it had to wait behind
-    them, it would miss its deadline and its previous work would be wasted.
+    them, it would finish too late and its previous work would be wasted.
 
     Given an endpoint whose only slot is taken
     When a new program waits for it, then a started one
@@ -51,7 +51,7 @@
 
   Scenario: Engines get the same order
     Calls also queue inside engines. If they were sent in order of arrival, the
-    order of our queue would be lost there.
+    order of the instance's own queue would have no effect there.
 
     Then a started program's call outranks a new program's earlier call
 
@@ -83,7 +83,7 @@
     Then no two simultaneous refusals give the same retry time
     And the retry times are spaced by the admission interval
 
-  Scenario: The limit follows what the endpoint can do
+  Scenario: The limit follows the endpoint's capacity
     Then an endpoint's limit falls while calls are slow and grows otherwise
 
   Scenario: A class that was not used for a week
--- a/tests/features/leaving.feature
+++ b/tests/features/leaving.feature
@@ -69,7 +69,7 @@
     And 12 calls are made at once
     Then all calls are answered
     And every instance of its domain shows "engine-1" as "down"
-    When engine "engine-1" thaws
+    When engine "engine-1" resumes
     Then every instance shows "engine-1" as "live"
 
   Scenario: An engine crashes with calls in flight
--- a/tests/features/placement.feature
+++ b/tests/features/placement.feature
@@ -41,7 +41,7 @@
     When a conversation's endpoint gets 40 other calls
     Then the conversation's next turn goes to the other endpoint
 
-  Scenario: An engine has evicted prefixes that we believe it holds
+  Scenario: An engine has evicted prefixes that it is believed to hold
     Engines report evictions late or never. Calls would keep waiting for a cache
     that no longer exists.
 
--- a/tests/features/steps/leaving.py
+++ b/tests/features/steps/leaving.py
@@ -101,8 +101,8 @@
     context.scenario_stack.callback(process.resume)
 
 
-@when('engine "{name}" thaws')
-def step_thaw(context, name):
+@when('engine "{name}" resumes')
+def step_resume(context, name):
     context.system.processes[name].resume()
 
 
@@ -113,7 +113,8 @@
 
     def kill():
         wait_until(
-            lambda: engine.stats().get("calls", 0) > before, "a call is there"
+            lambda: engine.stats().get("calls", 0) > before,
+            "a call is in flight",
         )
         context.system.processes["engine-1"].kill()
 
--- a/tests/features/steps/placement.py
+++ b/tests/features/steps/placement.py
@@ -196,10 +196,10 @@
     @_EXAMPLES
     @for_any(_NAMES, st.binary(min_size=1))
     def check(names, digest):
-        gone, *rest = sorted(names)
+        removed, *remaining = sorted(names)
         (before,) = Ring(names).homes(digest, 1)
-        (after,) = Ring(rest).homes(digest, 1)
-        assert before in (after, gone)
+        (after,) = Ring(remaining).homes(digest, 1)
+        assert before in (after, removed)
 
     check()
 
@@ -251,18 +251,18 @@
     @for_any(tokens, tokens, st.integers(0, 50), seconds, seconds, less)
     def check(prompt, output, in_flight, prefill, decode, share):
         cached = int(prompt * share)
-        call = PlacementRequest(prompt, output, prompt, 3.0, True)
+        request = PlacementRequest(prompt, output, prompt, 3.0, True)
         stats = EndpointStats(4.0)
         stats.slots = 8
 
         def cost(load, cached, factor):
             speed = BlendedSpeed(prefill * factor, decode * factor, 0.1)
-            return estimate(stats, speed, load, call, cached, 0.0).cost
+            return estimate(stats, speed, load, request, cached, 0.0).cost
 
-        least = cost(in_flight, cached, 1.0)
-        assert least <= cost(in_flight + 1, cached, 1.0)
-        assert least <= cost(in_flight, cached // 2, 1.0)
-        assert least <= cost(in_flight, cached, 1.5)
+        base_cost = cost(in_flight, cached, 1.0)
+        assert base_cost <= cost(in_flight + 1, cached, 1.0)
+        assert base_cost <= cost(in_flight, cached // 2, 1.0)
+        assert base_cost <= cost(in_flight, cached, 1.5)
 
     check()
 
@@ -306,9 +306,9 @@
                 prefixes=conversation_prefixes(f"talk-{rng.randrange(5)}", 4),
             )
             await fleet.call(work)
-            known = fleet.scheduler.state
-            cached = cached_prefixes(known, work)
-            found = known.candidates.select(work, cached)
+            scheduler_state = fleet.scheduler.state
+            cached = cached_prefixes(scheduler_state, work)
+            found = scheduler_state.candidates.select(work, cached)
             assert 1 < len(found) <= most, len(found)
 
     run_virtually(look())
@@ -328,6 +328,6 @@
 def step_nothing_kept(context):
     reasons = {refusal.reason for refusal in context.refusals}
     assert reasons == {Reason.UNKNOWN_MODEL}, reasons
-    known = context.fleet.scheduler.state
-    kept = [len(known.candidates.pools), len(known.groups)]
+    scheduler_state = context.fleet.scheduler.state
+    kept = [len(scheduler_state.candidates.pools), len(scheduler_state.groups)]
     assert kept == [0, 0], kept
