--- a/libs/keeper/src/rattanmill_keeper/__init__.py
+++ b/libs/keeper/src/rattanmill_keeper/__init__.py
@@ -1,4 +1,4 @@
-"""Storage instances: accounts of budgets and kept turns, on their disks."""
+"""Storage instances, which keep budget accounts and turns on disk."""
 
 from rattanmill_keeper.client import KeeperClient
 from rattanmill_keeper.daemon import run_storage
--- a/libs/keeper/src/rattanmill_keeper/accounts.py
+++ b/libs/keeper/src/rattanmill_keeper/accounts.py
@@ -1,8 +1,9 @@
-"""What holders of an account know, put together.
+"""Merging of the replicas of an account.
 
-Each holder knows the attempts that it was told of. A permission counts once a
-majority of the holders has recorded it, and any two majorities share a
-holder, so the uses that any majority knows of are all that were permitted.
+Each holder knows the attempts that were reported to it. A reservation is
+granted once a majority of the holders has recorded it, and any two majorities
+share a holder. So the uses known to any one majority include all that were
+granted.
 """
 
 import hashlib
@@ -13,60 +14,63 @@
 from rattanmill_keeper.messages import Account, Full, Recorded, Use
 
 
-def digest_of(attempt: str, use: Use) -> int:
-    """Returns what one use adds to an account's digest."""
+def use_digest(attempt: str, use: Use) -> int:
+    """Returns the contribution of one use to an account's digest."""
     text = f"{attempt}/{use.tokens}/{use.settled}".encode()
     return int.from_bytes(hashlib.blake2b(text, digest_size=8).digest())
 
 
-def latest(one: Use | None, other: Use) -> Use:
-    """Returns what is known of an attempt from two accounts of it.
+def merge_use(first: Use | None, second: Use) -> Use:
+    """Merges two records of the use of one attempt.
 
-    An attempt that has ended does not run again; should two tell different
-    ends, the larger one counts, so that nothing used is forgotten.
+    A settled use replaces an unsettled one, as an attempt that has ended does
+    not run again. If both are settled with different tokens, the larger value
+    wins, so that no use is lost.
     """
-    if one is None:
-        return other
-    if one.settled != other.settled:
-        return one if one.settled else other
-    return one if one.tokens >= other.tokens else other
+    if first is None:
+        return second
+    if first.settled != second.settled:
+        return first if first.settled else second
+    return first if first.tokens >= second.tokens else second
 
 
-def join(accounts: Iterable[Account]) -> Account:
-    """Puts together what holders know of one account.
+def merge_accounts(accounts: Iterable[Account]) -> Account:
+    """Merges several holders' replicas of one account.
 
-    Two that opened it may have set different parts aside. Each of them is
-    enough, so the one that leaves more to use counts.
+    If two instances opened the account, they may have set different amounts
+    aside for sharers. Either amount is sufficient, so the one that leaves more
+    of the budget wins.
     """
     first, *others = accounts
-    joined = msgspec.structs.replace(first, uses=dict(first.uses))
+    merged = msgspec.structs.replace(first, uses=dict(first.uses))
     for account in others:
         for attempt, use in account.uses.items():
-            joined.uses[attempt] = latest(joined.uses.get(attempt), use)
-        if account.limit > joined.limit:
-            joined.place = account.place
-            joined.given = account.given
-    return joined
+            merged.uses[attempt] = merge_use(merged.uses.get(attempt), use)
+        if account.limit > merged.limit:
+            merged.place = account.place
+            merged.given = account.given
+    return merged
 
 
 def majority(holders: int) -> int:
-    """Returns how many holders must have recorded a permission."""
+    """Returns the number of holders that must record a reservation."""
     return holders // 2 + 1
 
 
-def is_permitted(
+def is_granted(
     replies: list[Recorded | Full], holders: int, tokens: int
 ) -> bool:
-    """Whether what holders say is enough for a permission.
+    """Whether the holders' replies grant a reservation.
 
-    They mostly know the same. Where they do not, the uses of all of them
-    together are at most the sum of what each knows, which settles the matter
-    for all programs that are far from their budget.
+    Holders mostly know the same uses. If they differ, the sum of the uses that
+    each knows is an upper bound of all uses together, which is enough to grant
+    the reservation unless the program is close to its budget.
 
     Args:
-        replies: What holders have answered, also that they have no room.
-        holders: How many there are.
-        tokens: What was asked for, and is part of what each has taken.
+        replies: Replies of holders, including refusals for lack of budget.
+        holders: Number of holders.
+        tokens: Tokens of the reservation, which each reply includes in
+            ``taken``.
     """
     recorded = [reply for reply in replies if isinstance(reply, Recorded)]
     if len(recorded) < len(replies) or len(recorded) < majority(holders):
@@ -74,5 +78,5 @@
     limit = max(reply.limit for reply in recorded)
     if len({reply.digest for reply in recorded}) == 1:
         return recorded[0].taken <= limit
-    most = tokens + sum(reply.taken - tokens for reply in recorded)
-    return most <= limit
+    upper_bound = tokens + sum(reply.taken - tokens for reply in recorded)
+    return upper_bound <= limit
--- a/libs/keeper/src/rattanmill_keeper/client.py
+++ b/libs/keeper/src/rattanmill_keeper/client.py
@@ -1,4 +1,4 @@
-"""A front's way to the storage instances."""
+"""A front end's client for the storage instances."""
 
 from rattanmill_core import Metrics
 from rattanmill_keeper.lookup import TurnClient
@@ -8,18 +8,18 @@
 
 
 class KeeperClient:
-    """What a front asks of storage instances.
+    """Client for the storage instances.
 
     Attributes:
-        reach: The links to them, and what was heard on these.
-        budgets: Reserves and settles budgets.
+        reach: Links to the storage instances, and whether these respond.
+        budgets: Reserves and settles tokens.
         turns: Keeps and finds turns.
 
     Args:
-        domain: Failure domain of this front.
-        copies: Failure domains in which a turn must be on disk.
+        domain: Failure domain of this front end.
+        copies: Number of failure domains in which a turn must be on disk.
         members: The storage instances.
-        metrics: Counters and times.
+        metrics: Counters and durations.
     """
 
     def __init__(
--- a/libs/keeper/src/rattanmill_keeper/daemon.py
+++ b/libs/keeper/src/rattanmill_keeper/daemon.py
@@ -1,4 +1,4 @@
-"""A storage process."""
+"""The process of a storage instance."""
 
 import contextlib
 import pathlib
@@ -27,11 +27,18 @@
     metrics: Metrics,
     on_reload: Callable[[], None],
 ) -> None:
-    """Runs until SIGTERM.
+    """Runs a storage instance until SIGTERM.
+
+    Args:
+        settings: Settings of this instance.
+        kv: The platform store.
+        orders: Keys and values for orders to empty the instance.
+        metrics: Counters and durations.
+        on_reload: Called when the process is told to reload its settings.
 
     Raises:
-        SettingsError: An address or the data folder cannot be used.
-        InvariantError: The state was found to be impossible.
+        SettingsError: An address or the data folder is unusable.
+        InvariantError: An invariant of the process was violated.
     """
     signals = Signals()
     signals.install(on_reload)
--- a/libs/keeper/src/rattanmill_keeper/homes.py
+++ b/libs/keeper/src/rattanmill_keeper/homes.py
@@ -1,13 +1,14 @@
-"""Opens accounts: finds out that no other storage instance has.
+"""Agreement on the holders of an account before it is opened.
 
-An account is opened with the consent of all storage instances but one, or of
-the platform's store and one other. Two sets of all but one share a member, and
-so do all but one, and any two. Whoever agreed once refuses others, so two
-instances cannot both open an account. Whoever is cut off alone opens none.
+Opening an account takes the consent of all storage instances but one, or of
+the platform store and one other instance. Two sets of all but one instance
+share a member, and so do a set of all but one and any pair. An instance that
+has consented refuses all other holders, so two instances can't both open an
+account. An instance that is partitioned from all others opens none.
 
-Two that open one account at once may divide the others between them. Then the
-store decides, and what it says takes the place of what was agreed to, provided
-that no holder has the account open.
+If two instances open an account at once, each may get the consent of some of
+the others. Then the store decides, and its decision replaces what was agreed
+to, unless a holder has already opened the account.
 """
 
 import asyncio
@@ -31,22 +32,23 @@
 from rattanmill_platform import Conflict, Found, KeyValue, Unavailable, Written
 
 HOME_PREFIX = "rattanmill/homes/"
-# A consent takes a trip and a sync, a few milliseconds. A member that does not
-# answer so long counts as silent.
-_CONSENT_SECONDS = 0.15
-# A caller's front waits little longer; a slow store answers in 0.2 s.
-_STORE_SECONDS = 0.3
-# With two members, all but one would be each for itself.
-_LEAST_CONSENTS = 2
+# A consent takes a round trip and a sync, a few milliseconds. A member that
+# takes longer than this counts as unresponsive.
+_CONSENT_TIMEOUT_SECONDS = 0.15
+# The front end waits little longer; a slow store replies in 0.2 s.
+_STORE_TIMEOUT_SECONDS = 0.3
+# With two members, all but one would be a single instance.
+_MIN_CONSENTS = 2
 
 
 class Consent(msgspec.Struct, frozen=True):
     """The account may be opened here.
 
     Attributes:
-        missing: Storage instances that did not agree. At most one of them may
-            have granted tokens alone: others only do with three in all.
-        having: Those that agreed and may have granted tokens alone.
+        missing: Storage instances that did not consent. At most one of them
+            may have granted tokens alone, as instances only do so in systems
+            of up to three.
+        with_share: Instances that consented and may have granted tokens alone.
     """
 
     missing: frozenset[str] = frozenset()
@@ -54,11 +56,12 @@
 
 
 class NeedsArbitration(msgspec.Struct, frozen=True):
-    """The store must decide, and may: nobody gets all others' consent.
+    """The platform store must decide, and no instance can win without it.
 
     Attributes:
-        consent: Who agreed; with it the account is opened if the store says so.
-        is_divided: Whether some agreed to other holders.
+        consent: The consents so far, with which the account is opened if the
+            store confirms the holders.
+        is_divided: Whether some instances agreed to other holders.
     """
 
     consent: Consent
@@ -66,7 +69,7 @@
 
 
 class OpenDecision(enum.Enum):
-    """What follows from the consents that were given."""
+    """Next step after the consents were collected."""
 
     OPEN = enum.auto()
     ASK_STORE = enum.auto()
@@ -76,17 +79,17 @@
 def evaluate_consents(
     roster: int, agreed: int, refused: int, lost_disks: int
 ) -> OpenDecision:
-    """Decides what consents are enough for.
+    """Decides on the next step.
 
     Args:
-        roster: Storage instances there may be, the asker included.
-        agreed: Others that agreed.
-        refused: Others that agreed to other holders.
-        lost_disks: Disks that may be lost at once. Who opens an account with
-            the store must not be the only one to know when they are.
+        roster: Number of storage instances that may exist, including this one.
+        agreed: Number of other instances that consented.
+        refused: Number of other instances that agreed to other holders.
+        lost_disks: Number of disks that may be lost at once. If an account is
+            opened with the store, more instances than these must know of it.
     """
     consents = agreed + 1
-    if not refused and consents >= max(_LEAST_CONSENTS, roster - 1):
+    if not refused and consents >= max(_MIN_CONSENTS, roster - 1):
         return OpenDecision.OPEN
     if agreed >= min(max(lost_disks, 1), roster - 1):
         return OpenDecision.ASK_STORE
@@ -99,37 +102,37 @@
     ledger: Ledger,
     members: Members,
 ) -> Consent | NeedsArbitration | Elsewhere | Unsure | CutOff:
-    """Finds out whether a program's account may be opened at these holders.
+    """Requests the others' consent to open an account at these holders.
 
     Args:
-        program: The program.
-        holders: Who is to hold it.
-        ledger: What this instance knows.
+        program: Program id.
+        holders: Proposed holders of the account.
+        ledger: The ledger of this instance.
         members: The storage instances.
     """
     if members.store_silence() > ROSTER_SECONDS / 2:
-        return Unsure("cut off for too long to know all others")
+        return Unsure("cut off for too long to know all storage instances")
     roster = members.roster() | {ledger.name}
-    ask = Agree(program, ledger.name, holders, sorted(roster))
-    replies = await _ask_others(ask, members)
-    newer = [r for r in replies.values() if isinstance(r, Outdated)]
-    if newer:
-        unknown = set().union(*(r.roster for r in newer)) - roster
+    request = Agree(program, ledger.name, holders, sorted(roster))
+    replies = await _ask_others(request, members)
+    outdated = [r for r in replies.values() if isinstance(r, Outdated)]
+    if outdated:
+        unknown = set().union(*(r.roster for r in outdated)) - roster
         members.seen.update(dict.fromkeys(unknown, wall_seconds()))
         roster |= unknown
-        ask = msgspec.structs.replace(ask, roster=sorted(roster))
-        replies = await _ask_others(ask, members)
+        request = msgspec.structs.replace(request, roster=sorted(roster))
+        replies = await _ask_others(request, members)
     refused = [r for r in replies.values() if isinstance(r, Refused)]
     if not all(reply.holders for reply in refused):
-        return Unsure("another instance is opening the account")
-    consent = _consent(replies, ask, ledger)
+        return Unsure("another storage instance is opening the account")
+    consent = _consent(replies, request, ledger)
     agreed = len(roster - consent.missing) - 1
-    verdict = evaluate_consents(
+    decision = evaluate_consents(
         len(roster), agreed, len(refused), members.lost_disks
     )
-    if verdict is OpenDecision.OPEN:
+    if decision is OpenDecision.OPEN:
         return consent
-    if verdict is OpenDecision.ASK_STORE and _are_closed(
+    if decision is OpenDecision.ASK_STORE and _is_open_nowhere(
         refused, replies, ledger
     ):
         return NeedsArbitration(consent, bool(refused))
@@ -140,11 +143,14 @@
     return Elsewhere(refused[0].holders)
 
 
-def _are_closed(refused: list[Refused], replies: dict, ledger: Ledger) -> bool:
-    """Whether all who may have opened the account elsewhere say they have not.
+def _is_open_nowhere(
+    refused: list[Refused], replies: dict, ledger: Ledger
+) -> bool:
+    """Whether no other holders can have opened the account.
 
-    That too few can have agreed there is no proof: who opened it may have
-    known of fewer storage instances.
+    All other holders must have replied that they have not. That too few
+    instances can have consented to them is no proof, as the instance that
+    opened the account may have known fewer storage instances.
     """
     answered = {
         name
@@ -165,11 +171,12 @@
     members: Members,
     kv: KeyValue,
 ) -> Consent | Elsewhere | Unsure:
-    """Lets the store decide where an account is, and tells the others.
+    """Lets the store decide on the holders, and informs the others.
 
-    It takes the first holders that it is told. Whoever asks must have agreed
-    to them itself, on disk: with the others that did, it keeps any other
-    opener from the consent of all but one.
+    The store keeps the first holders that are written to it. The requester
+    must have its own consent to these holders on disk: along with the others
+    that consented, it keeps any other instance from getting the consent of all
+    but one.
     """
     found = await _ask_store(home.program, home.holders, kv)
     if isinstance(found, Unsure):
@@ -179,19 +186,22 @@
     elif not contested.is_divided:
         return contested.consent
     roster = sorted(members.roster() | {ledger.name})
-    ask = Agree(home.program, ledger.name, home.holders, roster, True)
-    replies = await _ask_others(ask, members)
+    request = Agree(home.program, ledger.name, home.holders, roster, True)
+    replies = await _ask_others(request, members)
     log_event("home_decided", program=home.program, holders=home.holders)
     for reply in replies.values():
         if isinstance(reply, Refused) and reply.is_open:
-            # Opened just before it heard; nothing was at the store's holders.
-            await _correct(home, reply.holders, kv)
+            # It opened the account just before it received the decision, and
+            # the holders in the store have recorded nothing.
+            await _correct_store(home, reply.holders, kv)
             return Elsewhere(reply.holders)
-    return _consent(replies, ask, ledger) if found is None else found
+    return _consent(replies, request, ledger) if found is None else found
 
 
-async def _correct(home: Home, holders: tuple[str, ...], kv: KeyValue) -> None:
-    """Lets the store say where an account was opened without it."""
+async def _correct_store(
+    home: Home, holders: tuple[str, ...], kv: KeyValue
+) -> None:
+    """Updates the store after an account was opened at other holders."""
     key = HOME_PREFIX + home.program
     found = await kv.read(key)
     if not isinstance(found, Found):
@@ -207,56 +217,63 @@
     )
 
 
-def _consent(replies: dict, ask: Agree, ledger: Ledger) -> Consent:
-    """Returns who agreed and who did not."""
+def _consent(replies: dict, request: Agree, ledger: Ledger) -> Consent:
+    """Returns the consents among the replies."""
     agreed = {n: r for n, r in replies.items() if isinstance(r, Agreed)}
-    missing = set(ask.roster) - set(agreed) - {ledger.name}
+    missing = set(request.roster) - set(agreed) - {ledger.name}
     having = {name for name, reply in agreed.items() if reply.has_share}
-    if ask.program in ledger.shares:
+    if request.program in ledger.shares:
         having.add(ledger.name)
     return Consent(frozenset(missing), frozenset(having))
 
 
 async def _ask_others(
-    ask: Agree, members: Members
+    request: Agree, members: Members
 ) -> dict[str, Agreed | Refused | Outdated | Unsure | None]:
-    """Asks all others that are not known to be silent; replies by name."""
+    """Asks all others that are responsive; returns replies by name."""
     links = {
         member.name: members.link(member)
         for member in members.known.values()
-        if member.name != ask.keeper
+        if member.name != request.keeper
+    }
+    responsive = {
+        name: link for name, link in links.items() if not link.failures
     }
-    there = {name: link for name, link in links.items() if not link.failures}
     replies = await asyncio.gather(
-        *(link.ask(ask, _CONSENT_SECONDS) for link in there.values())
+        *(
+            link.ask(request, _CONSENT_TIMEOUT_SECONDS)
+            for link in responsive.values()
+        )
     )
-    return dict(zip(there, replies, strict=True))
+    return dict(zip(responsive, replies, strict=True))
 
 
 async def _ask_store(
     program: str, holders: tuple[str, ...], kv: KeyValue
 ) -> Elsewhere | Unsure | None:
-    """Tells the store; None if it has these holders now."""
+    """Writes the holders to the store; None if these are now recorded."""
     try:
-        async with asyncio.timeout(_STORE_SECONDS):
-            return await _claim(program, holders, kv)
+        async with asyncio.timeout(_STORE_TIMEOUT_SECONDS):
+            return await _record_in_store(program, holders, kv)
     except TimeoutError:
-        return Unsure("the store does not answer in time")
+        return Unsure("the store did not reply in time")
 
 
-async def _claim(
+async def _record_in_store(
     program: str, holders: tuple[str, ...], kv: KeyValue
 ) -> Elsewhere | Unsure | None:
     key = HOME_PREFIX + program
     outcome = await kv.write(key, msgspec.json.encode(holders), 0)
     if isinstance(outcome, Unavailable | Conflict):
-        # Without an answer it may have taken effect all the same.
+        # A write without a reply may have taken effect nevertheless.
         outcome = await kv.read(key)
     match outcome:
         case Written():
             log_event("home_by_store", program=program)
             return None
         case Found(entry=entry):
-            known = msgspec.json.decode(entry.value, type=tuple[str, ...])
-            return None if known == holders else Elsewhere(known)
-    return Unsure("too few storage instances agreed, and no store")
+            recorded = msgspec.json.decode(entry.value, type=tuple[str, ...])
+            return None if recorded == holders else Elsewhere(recorded)
+    return Unsure(
+        "too few storage instances consented, and the store is unavailable"
+    )
--- a/libs/keeper/src/rattanmill_keeper/ledger.py
+++ b/libs/keeper/src/rattanmill_keeper/ledger.py
@@ -1,16 +1,16 @@
-"""Accounts of programs: who may use how many tokens.
+"""Accounts that track how many tokens each program may use.
 
-The permission to run a turn is a reservation that is on the disks of a
-majority of the account's holders. It needs no clock and no lease: a holder
-that was paused, cut off or killed goes on from what it has written down, and
-the others do not wait for it. The holders never change while the account
-lives, so no two majorities are without a common member.
+A turn may run once its reservation is on the disks of a majority of the
+account's holders. This needs neither clocks nor leases: a holder that was
+paused, partitioned or killed continues from what is on its disk, and the
+others do not wait for it. The holders never change during the lifetime of an
+account, so any two majorities share a member.
 """
 
 import msgspec
 
 from rattanmill_core import wall_seconds
-from rattanmill_keeper.accounts import digest_of, join
+from rattanmill_keeper.accounts import merge_accounts, use_digest
 from rattanmill_keeper.messages import (
     Account,
     AccountRef,
@@ -29,19 +29,19 @@
     max_share,
 )
 
-# A program whose account was not used for so long has ended. The longest
-# retention of a turn that operators ask for is far below.
+# A program whose account was unused for this long is considered ended. The
+# longest retention of turns that operators configure is far shorter.
 ACCOUNT_TTL_SECONDS = 3600.0
 
 
 class AccountChange(msgspec.Struct, frozen=True, tag="account"):
-    """The state of one account, as written to the journal."""
+    """Journal record of the state of an account."""
 
     account: Account
 
 
 class UseChange(msgspec.Struct, frozen=True, tag="use"):
-    """A use of an account, as written to the journal."""
+    """Journal record of one use of an account."""
 
     program: str
     attempt: str
@@ -49,41 +49,42 @@
 
 
 class ShareChange(msgspec.Struct, frozen=True, tag="share"):
-    """What was granted alone here, as written to the journal."""
+    """Journal record of the tokens that this instance granted alone."""
 
     program: str
     share: Share
 
 
 class HomeChange(msgspec.Struct, frozen=True, tag="home"):
-    """Where an account is, as written to the journal."""
+    """Journal record of the holders of an account."""
 
     home: Home
     at: float
 
 
 class RosterChange(msgspec.Struct, frozen=True, tag="roster"):
-    """The storage instances known of, as written to the journal."""
+    """Journal record of the known storage instances."""
 
     seen: dict[str, float]
 
 
 class OpenRequired(msgspec.Struct, frozen=True):
-    """The account must be opened first, with the others' consent.
+    """The account must first be opened with the consent of the others.
 
     Attributes:
-        holders: Who is to hold it, if that was agreed to already.
+        holders: Holders that were already agreed on, or empty.
     """
 
     holders: tuple[str, ...] = ()
 
 
 class PendingRecord(msgspec.Struct, frozen=True):
-    """A use that counts once it is on disk, and the reply to give then.
+    """A use that takes effect once it is on disk, and the reply to send then.
 
     Attributes:
-        account: The account, if it is new here. Its uses can't be read back
-            without it: a holder that starts again would have forgotten them.
+        account: The account, if it is new here. Uses can only be restored
+            along with their account; without it a holder would lose them on a
+            restart.
         change: The use.
         reply: The reply.
     """
@@ -94,15 +95,15 @@
 
 
 class Ledger:
-    """What one storage instance knows of accounts.
+    """Accounts as known to one storage instance.
 
     Attributes:
         name: Name of this storage instance.
-        accounts: Open accounts held here.
-        digests: Digest of each account's uses.
-        shares: What this instance has granted alone, by program.
-        homes: Where accounts are, whether open or only agreed to.
-        opening: Programs whose account is being opened here.
+        accounts: Open accounts held here, by program.
+        digests: Digest of each account's uses, by program.
+        shares: Tokens that this instance has granted alone, by program.
+        homes: Holders of accounts, open or only agreed on, by program.
+        opening: Programs whose accounts are being opened here.
     """
 
     def __init__(self, name: str) -> None:
@@ -114,7 +115,7 @@
         self.opening: set[str] = set()
 
     def find(self, program: str) -> Opened | Elsewhere | OpenRequired:
-        """Returns where an account is, or that it must be opened here."""
+        """Returns an account's placement, or that it must be opened here."""
         account = self.accounts.get(program)
         if account is not None:
             return Opened(account.place)
@@ -126,111 +127,119 @@
             return OpenRequired(holders)
         return Elsewhere(holders)
 
-    def reserve(self, ask: Reserve) -> PendingRecord | Full | Unsure:
-        """Decides on a reservation; a change must be on disk to count.
+    def reserve(self, request: Reserve) -> PendingRecord | Full | Unsure:
+        """Decides on a reservation, which takes effect once it is on disk.
 
-        An attempt that asks again, because the reply was lost, has its
-        reservation already. It is written again, as the first record, or what
-        another holder told of it, may still be on its way to the disk.
+        An attempt that retries because the reply was lost already has its
+        reservation. The reservation is written again, as the first record, or
+        the one that another holder sent, may not be on disk yet.
         """
-        if ask.place is None or self.name not in ask.place.holders:
-            return Unsure("not held here")
-        if self.holders_of(ask.program) not in ((), ask.place.holders):
-            return Unsure("other holders were agreed to here")
-        account = self.accounts.get(ask.program)
-        adopted = None
+        if request.place is None or self.name not in request.place.holders:
+            return Unsure("this instance is not a holder of the account")
+        if self.holders_of(request.program) not in ((), request.place.holders):
+            return Unsure("this instance has agreed to other holders")
+        account = self.accounts.get(request.program)
+        new_account = None
         if account is None:
-            # It is open, and this holder only was out of reach just then. It
-            # has recorded nothing, so no majority relied on it.
-            account = Account(ask.program, ask.budget, ask.place)
-            self._hold(account)
-            adopted = self._changed(account)
-        use = account.uses.get(ask.attempt)
+            # The account is open; only this holder was unreachable when it was
+            # opened. It has recorded nothing, so no majority relied on it.
+            account = Account(request.program, request.budget, request.place)
+            self._put(account)
+            new_account = self._touch(account)
+        use = account.uses.get(request.attempt)
         if use is not None and use.settled:
-            return Unsure("the attempt has ended")
+            return Unsure("the attempt has already ended")
         if use is not None:
-            again = UseChange(ask.program, ask.attempt, use)
-            return PendingRecord(adopted, again, self._recorded(account))
-        if account.taken + ask.tokens > account.limit:
+            repeated = UseChange(request.program, request.attempt, use)
+            return PendingRecord(new_account, repeated, self._reply(account))
+        if account.taken + request.tokens > account.limit:
             return Full()
-        change = self._use(account, ask.attempt, Use(ask.tokens))
-        return PendingRecord(adopted, change, self._recorded(account))
+        change = self._set_use(account, request.attempt, Use(request.tokens))
+        return PendingRecord(new_account, change, self._reply(account))
 
     def reserve_alone(
-        self, ask: Reserve, may_open_share: bool
+        self, request: Reserve, may_open_share: bool
     ) -> ShareChange | Full | Unsure:
-        """Grants out of the part that one domain may grant alone.
+        """Grants a reservation out of this instance's share.
 
-        That is the opener's domain if all have agreed to the account, and
-        else the one that was not asked: whoever has agreed begins no share.
+        The share belongs to the instance that opened the account if all others
+        consented, and otherwise to the one whose consent was missing: an
+        instance that has consented opens no share.
 
         Args:
-            ask: What is asked for.
+            request: The reservation.
             may_open_share: Whether this instance knows what it granted before,
-                and may begin a share for a program that it has not heard of.
+                and may open a share for a program that it does not know.
         """
-        share = self.shares.get(ask.program)
+        share = self.shares.get(request.program)
         if share is None:
-            is_known = ask.program in self.homes or ask.program in self.accounts
+            is_known = (
+                request.program in self.homes
+                or request.program in self.accounts
+            )
             if is_known or not may_open_share:
-                return Unsure("nothing of the budget is set aside here")
-            share = self.shares[ask.program] = Share()
-        if ask.attempt not in share.uses:
-            taken = share.taken + ask.tokens
-            if share.is_closed or taken > max_share(ask.budget, ask.tokens):
+                return Unsure("this instance has no share of the budget")
+            share = self.shares[request.program] = Share()
+        if request.attempt not in share.uses:
+            taken = share.taken + request.tokens
+            if share.is_closed or taken > max_share(
+                request.budget, request.tokens
+            ):
                 return Full()
-            share.uses[ask.attempt] = Use(ask.tokens)
-        return self._share_changed(ask.program)
+            share.uses[request.attempt] = Use(request.tokens)
+        return self._touch_share(request.program)
 
     def close_share(self, program: str) -> ShareChange:
-        """Grants nothing more alone; what was granted stands in the change."""
+        """Stops granting alone; the change lists what was granted."""
         share = self.shares.setdefault(program, Share())
         share.is_closed = True
-        return self._share_changed(program)
+        return self._touch_share(program)
 
     def release_share(self, program: str) -> list[ShareChange | AccountChange]:
-        """Ends what this instance alone may grant, and gives the rest back."""
+        """Closes this instance's share and returns its rest to the holders."""
         account = self.accounts[program]
         if account.place.sharers != (self.name,):
             return []
         change = self.close_share(program)
         spare = account.place.reserved - change.share.taken
         account.given = max(account.given, spare)
-        return [change, self._changed(account)]
+        return [change, self._touch(account)]
 
-    def settle(self, said: Settle) -> list[UseChange | ShareChange]:
-        """Books what an attempt used.
+    def settle(self, settlement: Settle) -> list[UseChange | ShareChange]:
+        """Records the final use of an attempt.
 
-        A holder that has not heard of the attempt notes it as well: its
-        reservation may still be under way here, and would then stay for ever.
+        A holder that does not know the attempt records it as well. Otherwise a
+        reservation that arrives later would never be settled.
         """
         changes: list[UseChange | ShareChange] = []
-        account = self.accounts.get(said.program)
+        account = self.accounts.get(settlement.program)
         if account is not None:
-            tokens = 0 if said.alone else said.tokens
-            use = account.uses.get(said.attempt, Use(tokens))
+            tokens = 0 if settlement.alone else settlement.tokens
+            use = account.uses.get(settlement.attempt, Use(tokens))
             if not use.settled:
                 ended = Use(min(tokens, use.tokens), True)
-                changes.append(self._use(account, said.attempt, ended))
-        share = self.shares.get(said.program)
-        use = share.uses.get(said.attempt) if share else None
+                changes.append(
+                    self._set_use(account, settlement.attempt, ended)
+                )
+        share = self.shares.get(settlement.program)
+        use = share.uses.get(settlement.attempt) if share else None
         if use and not use.settled:
-            ended = Use(min(said.tokens, use.tokens), True)
-            share.uses[said.attempt] = ended
-            changes.append(self._share_changed(said.program))
+            ended = Use(min(settlement.tokens, use.tokens), True)
+            share.uses[settlement.attempt] = ended
+            changes.append(self._touch_share(settlement.program))
         return changes
 
     def ref(self, account: Account) -> AccountRef:
-        """Returns what tells other holders whether they know the same."""
+        """Returns the account's version for comparison by other holders."""
         program = account.program
         return AccountRef(program, self.digests[program], account.limit)
 
     def get_many(self, programs: list[str]) -> list[Account]:
-        """Returns the accounts of those programs that are held here."""
+        """Returns the accounts of the programs that are held here."""
         return [self.accounts[p] for p in programs if p in self.accounts]
 
     def is_current(self, ref: AccountRef) -> bool:
-        """Whether an account that another holder has is no news here."""
+        """Whether another holder's version of an account adds nothing here."""
         account = self.accounts.get(ref.program)
         return (
             account is not None
@@ -238,28 +247,30 @@
             and account.limit >= ref.limit
         )
 
-    def agree(self, ask: Agree) -> Refused | HomeChange:
+    def agree(self, request: Agree) -> Refused | HomeChange:
         """Decides whether an account may be opened at these holders.
 
-        Two that open the same account at once meet here: the smaller name
-        goes on, and the other finds its holders written down. What is known
-        already is written again: it may still be on its way to the disk.
+        If two instances open the same account at once, the one with the
+        smaller name wins, and the other finds the holders of the winner here.
+        Known holders are written again, as they may not be on disk yet.
         """
-        program, holders = ask.program, ask.holders
-        if ask.is_decided:
+        program, holders = request.program, request.holders
+        if request.is_decided:
             self.override_home(Home(program, holders))
         known = self.holders_of(program)
         if known and known != holders:
             return Refused(known, program in self.accounts)
-        if not known and program in self.opening and self.name < ask.keeper:
+        if not known and program in self.opening and self.name < request.keeper:
             return Refused(())
         home = Home(program, holders)
         return self.add_home(home) or HomeChange(home, wall_seconds())
 
     def override_home(self, home: Home) -> HomeChange | None:
-        """Takes the holders that the store says, whatever was agreed to.
+        """Replaces the agreed holders by those in the platform store.
 
-        None if the account is open with others, which the store would know.
+        Returns:
+            The change, or None if the account is open. The store would know
+            the holders of an open account.
         """
         if home.program in self.accounts:
             return None
@@ -267,36 +278,36 @@
         return self.add_home(home)
 
     def open(self, account: Account) -> AccountChange | None:
-        """Opens an account here, unless other holders became known."""
+        """Opens an account here, unless other holders have become known."""
         known = self.holders_of(account.program)
         if known not in ((), account.place.holders):
             return None
         if account.program not in self.accounts:
-            self._hold(account)
-        return self._changed(self.accounts[account.program])
+            self._put(account)
+        return self._touch(self.accounts[account.program])
 
     def open_share(self, program: str) -> ShareChange:
-        """Lets this instance grant alone: all have agreed to the account.
+        """Lets this instance grant alone, as all others have consented.
 
-        Only for an account that nobody had heard of before; one that has lost
-        its disk can't tell what it granted.
+        Only valid for an account that no instance knew before: an instance
+        that has lost its disk does not know what it granted.
         """
         self.shares.setdefault(program, Share())
-        return self._share_changed(program)
+        return self._touch_share(program)
 
     def merge(self, account: Account) -> AccountChange | None:
-        """Takes what other holders know; None if that is no news."""
+        """Merges another holder's replica; None if it changes nothing."""
         if self.name not in account.place.holders:
             return None
         held = self.accounts.get(account.program)
-        joined = join([held, account]) if held else account
-        if held and (joined.uses, joined.limit) == (held.uses, held.limit):
+        merged = merge_accounts([held, account]) if held else account
+        if held and (merged.uses, merged.limit) == (held.uses, held.limit):
             return None
-        self._hold(joined)
-        return self._changed(joined)
+        self._put(merged)
+        return self._touch(merged)
 
     def add_home(self, home: Home) -> HomeChange | None:
-        """Writes down where an account is; None if that is no news."""
+        """Records the holders of an account; None if they are known."""
         if home.program in self.accounts or home.program in self.homes:
             return None
         change = HomeChange(home, wall_seconds())
@@ -306,21 +317,21 @@
     def restore(
         self, change: AccountChange | UseChange | ShareChange | HomeChange
     ) -> None:
-        """Takes back what the journal says; later records replace earlier."""
+        """Applies a journal record; later records replace earlier ones."""
         match change:
             case AccountChange(account=account):
-                self._hold(account)
+                self._put(account)
             case UseChange(program=program, attempt=attempt, use=use):
                 account = self.accounts.get(program)
                 if account is not None:
-                    self._use(account, attempt, use)
+                    self._set_use(account, attempt, use)
             case ShareChange(program=program, share=share):
                 self.shares[program] = share
             case HomeChange(home=home):
                 self.homes[home.program] = change
 
     def snapshot(self) -> list[AccountChange | ShareChange | HomeChange]:
-        """Returns records from which all of this can be restored."""
+        """Returns records from which the ledger can be restored."""
         return [
             *self.homes.values(),
             *map(AccountChange, self.accounts.values()),
@@ -328,7 +339,7 @@
         ]
 
     def expire(self) -> list[str]:
-        """Drops programs that have ended long ago and returns them."""
+        """Drops programs that ended long ago and returns their ids."""
         oldest = wall_seconds() - ACCOUNT_TTL_SECONDS
         accounts = [p for p, a in self.accounts.items() if a.touched < oldest]
         for program in accounts:
@@ -347,39 +358,39 @@
         return sorted({*accounts, *homes})
 
     def holders_of(self, program: str) -> tuple[str, ...]:
-        """Returns the holders that were agreed to here, or nobody."""
+        """Returns the holders agreed on here, or an empty tuple."""
         account = self.accounts.get(program)
         if account is not None:
             return account.place.holders
         known = self.homes.get(program)
         return known.home.holders if known else ()
 
-    def _hold(self, account: Account) -> None:
+    def _put(self, account: Account) -> None:
         self.accounts[account.program] = account
         digest = 0
         for attempt, use in account.uses.items():
-            digest ^= digest_of(attempt, use)
+            digest ^= use_digest(attempt, use)
         self.digests[account.program] = digest
 
-    def _use(self, account: Account, attempt: str, use: Use) -> UseChange:
+    def _set_use(self, account: Account, attempt: str, use: Use) -> UseChange:
         before = account.uses.get(attempt)
         if before:
-            self.digests[account.program] ^= digest_of(attempt, before)
+            self.digests[account.program] ^= use_digest(attempt, before)
         account.uses[attempt] = use
-        self.digests[account.program] ^= digest_of(attempt, use)
+        self.digests[account.program] ^= use_digest(attempt, use)
         account.touched = wall_seconds()
         return UseChange(account.program, attempt, use)
 
-    def _recorded(self, account: Account) -> Recorded:
+    def _reply(self, account: Account) -> Recorded:
         digest = self.digests[account.program]
         return Recorded(account.taken, account.limit, digest)
 
-    def _share_changed(self, program: str) -> ShareChange:
+    def _touch_share(self, program: str) -> ShareChange:
         share = self.shares[program]
         share.touched = wall_seconds()
         copy = msgspec.structs.replace(share, uses=dict(share.uses))
         return ShareChange(program, copy)
 
-    def _changed(self, account: Account) -> AccountChange:
+    def _touch(self, account: Account) -> AccountChange:
         account.touched = wall_seconds()
         return AccountChange(account)
--- a/libs/keeper/src/rattanmill_keeper/lookup.py
+++ b/libs/keeper/src/rattanmill_keeper/lookup.py
@@ -1,4 +1,4 @@
-"""A front's way to kept turns: keeps them, and finds them again."""
+"""Storing and finding of kept turns by front ends."""
 
 import asyncio
 import collections
@@ -18,25 +18,25 @@
 )
 from rattanmill_keeper.reach import Reach
 
-_KEEP_SECONDS = 0.4
-_FETCH_SECONDS = 0.3
-_AWAY_SECONDS = 0.06
-# Texts of turns kept at hand; the next turn of a line mostly comes to the
-# same front and then needs no trip.
+_KEEP_TIMEOUT_SECONDS = 0.4
+_FETCH_TIMEOUT_SECONDS = 0.3
+_UNRESPONSIVE_TIMEOUT_SECONDS = 0.06
+# Size of the cache of turns. The next turn of a conversation mostly comes to
+# the same front end, and then needs no round trip.
 _CACHE_BYTES = 24 * 1024 * 1024
 
 
 class NoSuchTurn(msgspec.Struct, frozen=True):
-    """All that could hold the turn have said that they don't."""
+    """All instances that could hold the turn have replied that they do not."""
 
 
 class KeepResult(msgspec.Struct, frozen=True):
-    """Where a turn is on disk.
+    """Replicas of a turn that are on disk.
 
     Attributes:
-        domains: Failure domains, one for each storage instance.
-        keepers: The storage instances.
-        enough: Whether these are as many as were asked for.
+        domains: Failure domain of each storage instance in ``keepers``.
+        keepers: Names of the storage instances.
+        is_replicated: Whether there are as many replicas as required.
     """
 
     domains: list[str]
@@ -45,22 +45,27 @@
 
 
 class Gap(msgspec.Struct):
-    """What is still missing of a chain.
+    """The part of a chain that is still missing.
 
     Attributes:
-        turn: The newest turn that was not found, or empty.
-        doubt: Why it may exist all the same, or empty.
-        unlisted: Storage instances that others have known lately and do not
-            know any more, or have not heard register yet.
+        turn: Id of the newest turn that was not found, or empty.
+        uncertainty: Why the turn may exist nevertheless, or empty.
+        unlisted: Storage instances that others knew recently but no longer
+            list, or have not yet seen registered.
     """
 
     turn: str
-    doubt: str = ""
+    uncertainty: str = ""
     unlisted: set[str] = msgspec.field(default_factory=set)
 
 
 class TurnCache:
-    """Recently used turns, by id."""
+    """Least recently used cache of turns.
+
+    Attributes:
+        turns: Turns by id.
+        bytes: Total size of their texts.
+    """
 
     def __init__(self) -> None:
         self.turns: collections.OrderedDict[str, KeptTurn] = (
@@ -69,17 +74,17 @@
         self.bytes = 0
 
     def add(self, kept: KeptTurn) -> None:
-        """Takes a turn in and drops the least recently used ones."""
+        """Adds a turn, evicting the least recently used ones if needed."""
         if kept.turn not in self.turns:
             self.bytes += len(kept.text)
         self.turns[kept.turn] = kept
         self.turns.move_to_end(kept.turn)
         while self.bytes > _CACHE_BYTES:
-            _, old = self.turns.popitem(last=False)
-            self.bytes -= len(old.text)
+            _, evicted = self.turns.popitem(last=False)
+            self.bytes -= len(evicted.text)
 
     def chain(self, turn: str) -> Iterator[KeptTurn]:
-        """Yields a turn and those that it continues, as far as they go."""
+        """Yields a turn and those that it continues, as far as cached."""
         while kept := self.turns.get(turn):
             self.turns.move_to_end(turn)
             yield kept
@@ -87,11 +92,11 @@
 
 
 class TurnClient:
-    """Keeps turns and finds chains of them.
+    """Keeps turns and finds chains of turns.
 
     Args:
-        reach: The storage instances.
-        copies: Failure domains in which a turn must be on disk.
+        reach: Links to the storage instances.
+        copies: Number of failure domains in which a turn must be on disk.
     """
 
     def __init__(self, reach: Reach, copies: int) -> None:
@@ -100,10 +105,10 @@
         self.cache = TurnCache()
 
     async def keep(self, kept: KeptTurn) -> KeepResult:
-        """Returns when a turn is on disk in enough failure domains.
+        """Keeps a turn, and returns once it is on disk in enough domains.
 
-        If fewer can be reached, as in a domain that is cut off, those that
-        have it spread it once they reach another.
+        If too few failure domains are reachable, as during a partition, the
+        instances that have the turn spread it once they reach others.
         """
         self.cache.add(kept)
         began = loop_seconds()
@@ -132,19 +137,19 @@
 
     async def _keep_at(self, member: Member, kept: KeptTurn) -> bool:
         reply = await self.reach.ask(
-            member, Keep(kept), _KEEP_SECONDS, _KEEP_SECONDS / 4
+            member, Keep(kept), _KEEP_TIMEOUT_SECONDS, _KEEP_TIMEOUT_SECONDS / 4
         )
         return isinstance(reply, Done)
 
     async def find(
         self, turn: str, chain: str
     ) -> list[KeptTurn] | NoSuchTurn | Unsure:
-        """Returns a turn and all that it continues, newest first.
+        """Returns a turn and all turns that it continues, newest first.
 
         Args:
-            turn: Its id.
-            chain: What its chain most likely has in common; where that is
-                wrong, all storage instances are asked.
+            turn: Id of the turn.
+            chain: Likely key of its chain. If it is wrong, all storage
+                instances are asked.
         """
         began = loop_seconds()
         found = list(self.cache.chain(turn))
@@ -152,16 +157,20 @@
         gap = Gap(found[-1].previous if found else turn)
         asked = dict(self.reach.members.known)
         await self._search(found, gap, key)
-        if gap.turn and not gap.doubt and await self._has_news(asked, gap):
+        if (
+            gap.turn
+            and not gap.uncertainty
+            and await self._has_other_members(asked, gap)
+        ):
             await self._search(found, gap, key)
         self.reach.metrics.observe(
             "rattanmill_find_seconds", loop_seconds() - began
         )
         if not gap.turn:
             return found
-        gap.doubt = gap.doubt or self._doubt_lost(gap)
+        gap.uncertainty = gap.uncertainty or self._lost_instances_reason(gap)
         self._log_missing(turn, gap)
-        if gap.doubt or found:
+        if gap.uncertainty or found:
             return Unsure(f"turn {gap.turn} was not found")
         return NoSuchTurn()
 
@@ -171,61 +180,70 @@
             "turn_missing",
             turn=gap.turn,
             asked_for=turn,
-            sure=not gap.doubt,
-            why=gap.doubt,
+            sure=not gap.uncertainty,
+            why=gap.uncertainty,
             keepers=sorted(members.known),
             revision=members.watch.revision,
             heard_s=round(members.store_silence(), 3),
         )
 
-    async def _has_news(self, asked: dict[str, Member], gap: Gap) -> bool:
-        """Whether there are others to ask than those that were.
+    async def _has_other_members(
+        self, asked: dict[str, Member], gap: Gap
+    ) -> bool:
+        """Whether the platform store lists other instances than were asked.
 
-        This front's list may lag behind that of the one that kept the turn,
-        so only the store's own tells who there is.
+        The list of this front end may lag behind that of the front end that
+        kept the turn, so only the store's own list is reliable.
         """
         members = self.reach.members
         if not await members.catch_up():
-            gap.doubt = "the store does not tell who there is"
+            gap.uncertainty = "the store does not list the storage instances"
             return False
         return members.known != asked
 
     async def _search(self, found: list[KeptTurn], gap: Gap, key: str) -> None:
-        """Asks all for the rest of a chain for as long as it grows.
+        """Searches for the rest of a chain until it stops growing.
 
-        The turns of a chain may lie on different instances after some came or
-        went. What one adds may be all that another needs to go on from, so
-        whoever has answered is asked again while anything is gained.
+        After instances were added or removed, the turns of a chain may be on
+        different ones. A turn found at one instance may be continued at one
+        that was asked before, so all are asked again while turns are found.
         """
         while gap.turn:
             before = gap.turn
-            await self._look(found, gap, key)
+            await self._search_once(found, gap, key)
             if gap.turn == before:
                 return
 
-    async def _look(self, found: list[KeptTurn], gap: Gap, key: str) -> None:
-        """Asks all once for the rest of a chain, near ones first."""
-        gap.doubt = ""
+    async def _search_once(
+        self, found: list[KeptTurn], gap: Gap, key: str
+    ) -> None:
+        """Asks each instance once for the rest of a chain, near ones first."""
+        gap.uncertainty = ""
         gap.unlisted.clear()
-        for group in self._groups(key):
+        for group in self._query_groups(key):
             chains = await asyncio.gather(
                 *(
                     self.reach.ask(
-                        member, Fetch(gap.turn), _FETCH_SECONDS, _AWAY_SECONDS
+                        member,
+                        Fetch(gap.turn),
+                        _FETCH_TIMEOUT_SECONDS,
+                        _UNRESPONSIVE_TIMEOUT_SECONDS,
                     )
                     for member in group
                 )
             )
             for member, chain in zip(group, chains, strict=True):
-                gap.doubt = gap.doubt or _doubt(member, chain)
+                gap.uncertainty = gap.uncertainty or _uncertainty(member, chain)
                 if isinstance(chain, Chain):
-                    gap.turn = self._join(found, gap.turn, chain)
+                    gap.turn = self._append_turns(found, gap.turn, chain)
                     gap.unlisted.update(chain.unlisted)
             if not gap.turn:
                 return
 
-    def _join(self, found: list[KeptTurn], missing: str, chain: Chain) -> str:
-        """Adds what a chain brings of the missing part; returns what lacks."""
+    def _append_turns(
+        self, found: list[KeptTurn], missing: str, chain: Chain
+    ) -> str:
+        """Appends the missing turns of a reply; returns the next one."""
         for kept in chain.turns:
             if kept.turn != missing:
                 continue
@@ -234,11 +252,12 @@
             missing = kept.previous
         return missing
 
-    def _groups(self, key: str) -> list[list[Member]]:
-        """Orders whom to ask: near ones that should have it, then all.
+    def _query_groups(self, key: str) -> list[list[Member]]:
+        """Groups instances in the order in which they are asked.
 
-        Those that are away come last: waiting for them would hold up a turn
-        that another one has.
+        Near instances that should have the turn come first, then all others.
+        Unresponsive ones come last, as waiting for them would delay a turn
+        that another instance has.
         """
         replicas = {m.name for m in self.reach.members.replicas(key)}
         members = sorted(
@@ -248,21 +267,25 @@
                 m.domain != self.reach.domain,
             ),
         )
-        there = [m for m in members if not self.reach.is_away(m)]
-        away = [m for m in members if self.reach.is_away(m)]
-        return [group for group in (there[:1], there[1:], away) if group]
-
-    def _doubt_lost(self, gap: Gap) -> str:
-        """Names instances that may have a turn and are not listed any more."""
+        responsive = [m for m in members if not self.reach.is_away(m)]
+        unresponsive = [m for m in members if self.reach.is_away(m)]
+        return [
+            group
+            for group in (responsive[:1], responsive[1:], unresponsive)
+            if group
+        ]
+
+    def _lost_instances_reason(self, gap: Gap) -> str:
+        """Names the unlisted instances that may have a turn."""
         members = self.reach.members
         oldest = loop_seconds() - HELD_SECONDS
         lost = {name for name, at in members.lost_at.items() if at > oldest}
         lost |= gap.unlisted - members.known.keys() - members.emptied
-        return f"{', '.join(sorted(lost))} may have it" if lost else ""
+        return f"{', '.join(sorted(lost))} may have the turn" if lost else ""
 
 
-def _doubt(member: Member, reply: msgspec.Struct | None) -> str:
-    """Says why an answer leaves open whether a turn exists, or nothing."""
+def _uncertainty(member: Member, reply: msgspec.Struct | None) -> str:
+    """Returns why a reply is not conclusive; empty if it is."""
     if not isinstance(reply, Chain):
-        return f"{member.name} is silent"
-    return "" if reply.whole else f"{member.name} is not whole"
+        return f"{member.name} does not respond"
+    return "" if reply.whole else f"{member.name} has not recovered"
--- a/libs/keeper/src/rattanmill_keeper/messages.py
+++ b/libs/keeper/src/rattanmill_keeper/messages.py
@@ -1,4 +1,4 @@
-"""What fronts ask of storage instances, and these of each other."""
+"""Messages from front ends to storage instances and between these."""
 
 from typing import Any
 
@@ -7,21 +7,24 @@
 from rattanmill_core import CrashNote
 from rattanmill_wire import Codec
 
-# Instances grant alone only where there are no more than these: with more, the
-# consent of others may leave out several that grant.
+# Instances grant tokens alone only in systems of at most this many storage
+# instances. With more, an account could be opened without the consent of
+# several instances that grant alone.
 MAX_SHARERS = 3
 
 
 class KeptTurn(msgspec.Struct, frozen=True, tag="turn"):
-    """A finished turn, as the next ones of its line need it.
+    """A finished turn, with what the turns that continue it need.
 
     Attributes:
-        turn: Its id, the id of the request that ran it.
-        previous: The turn that it continues, or empty.
-        text: Its new input and then its output, as an endpoint reads them.
-        expires: Seconds since 1970 until which it is kept at least.
-        chain: What all turns of its chain have in common: it decides which
-            storage instances keep them, so that one has them all.
+        turn: Turn id, which is the id of the request that ran the turn.
+        previous: Id of the turn that it continues, or empty.
+        text: The turn's new input followed by its output, in the format that
+            endpoints read.
+        expires: Earliest time at which the turn may be dropped, in seconds
+            since 1970.
+        chain: Key shared by all turns of a chain. It selects the storage
+            instances that keep them, so that each of these has all of them.
     """
 
     turn: str
@@ -32,24 +35,29 @@
 
     @property
     def key(self) -> str:
-        """What decides which storage instances keep it."""
+        """Key that selects the storage instances that keep the turn."""
         return self.chain or self.turn
 
 
 class TurnRef(msgspec.Struct, frozen=True, array_like=True):
-    """A turn that a storage instance holds; its fields as in ``KeptTurn``."""
+    """Reference to a held turn.
+
+    Attributes:
+        turn: As in ``KeptTurn``.
+        key: As in ``KeptTurn``.
+    """
 
     turn: str
     key: str
 
 
 class Home(msgspec.Struct, frozen=True):
-    """Where the account of a program is.
+    """The storage instances that hold a program's account.
 
     Attributes:
-        program: The program.
-        holders: Names of the storage instances that hold it, each in another
-            failure domain. The first one opened it.
+        program: Program id.
+        holders: Names of the storage instances with a replica of the account,
+            each in a different failure domain. The first one opened it.
     """
 
     program: str
@@ -57,11 +65,12 @@
 
 
 class Use(msgspec.Struct, frozen=True, array_like=True):
-    """What one attempt takes of a budget.
+    """The tokens of one attempt that count against a budget.
 
     Attributes:
-        tokens: What it used or, while it runs, the most that it may use.
-        settled: Whether it has ended.
+        tokens: Tokens used or, while the attempt runs, the maximum that it may
+            use.
+        settled: Whether the attempt has ended.
     """
 
     tokens: int
@@ -69,12 +78,14 @@
 
 
 class Place(msgspec.Struct, frozen=True):
-    """Where an open account is.
+    """Placement of an open account.
 
     Attributes:
         holders: As in ``Home``.
-        sharers: Names of those that may have granted tokens alone.
-        reserved: Tokens that the holders do not grant, since these may have.
+        sharers: Names of the storage instances that may have granted tokens
+            alone.
+        reserved: Tokens set aside for the sharers. The holders do not grant
+            them, as the sharers may have done so.
     """
 
     holders: tuple[str, ...]
@@ -83,15 +94,16 @@
 
 
 class Account(msgspec.Struct):
-    """What a program may use and has used, in tokens, as one holder knows it.
+    """One holder's replica of a program's account, in tokens.
 
     Attributes:
-        program: The program.
-        budget: All that it may use.
-        place: Who holds it.
-        uses: By attempt.
-        given: How much of what is reserved for sharers they have given back.
-        touched: Seconds since 1970 of its last use.
+        program: Program id.
+        budget: Total tokens that the program may use.
+        place: Placement of the account.
+        uses: Uses by attempt id.
+        given: Tokens that the sharers have returned out of those set aside
+            for them.
+        touched: Time of the last change, in seconds since 1970.
     """
 
     program: str
@@ -103,31 +115,32 @@
 
     @property
     def settled(self) -> int:
-        """What attempts that have ended used."""
+        """Tokens used by attempts that have ended."""
         return sum(use.tokens for use in self.uses.values() if use.settled)
 
     @property
     def taken(self) -> int:
-        """The most that has been used, running attempts included."""
+        """Maximum tokens used, including those of running attempts."""
         return sum(use.tokens for use in self.uses.values())
 
     @property
     def limit(self) -> int:
-        """What the holders may grant together."""
+        """Total tokens that the holders may grant."""
         return self.budget - self.place.reserved + self.given
 
 
 def max_share(budget: int, tokens: int) -> int:
-    """Returns the most that one instance may grant a program alone.
+    """Returns the maximum number of tokens that one instance grants alone.
 
-    A failure domain that is cut off goes on with it. Callers allow a program
-    its budget and one turn; at most three instances grant alone, so three of
-    these parts together stay within that also if all are cut off from each
-    other. It is one turn of the smallest budgets in use, and five of others.
+    It lets a program go on in a failure domain that is cut off. Callers
+    tolerate that a program exceeds its budget by one turn. At most three
+    instances grant alone, so their shares together stay within that limit even
+    if all three are partitioned from each other. A share is one turn of the
+    smallest budgets in use, and five turns of others.
 
     Args:
-        budget: All that the program may use.
-        tokens: The most that one turn uses.
+        budget: Total tokens that the program may use.
+        tokens: Maximum tokens of one turn.
     """
     return (budget + tokens) // MAX_SHARERS
 
@@ -136,9 +149,9 @@
     """What one storage instance has granted alone to a program.
 
     Attributes:
-        uses: By attempt.
-        is_closed: Whether it grants nothing more.
-        touched: Seconds since 1970 of its last change.
+        uses: Uses by attempt id.
+        is_closed: Whether the instance grants nothing more alone.
+        touched: Time of the last change, in seconds since 1970.
     """
 
     uses: dict[str, Use] = msgspec.field(default_factory=dict)
@@ -147,17 +160,17 @@
 
     @property
     def taken(self) -> int:
-        """The most that was used."""
+        """Maximum tokens used, including those of running attempts."""
         return sum(use.tokens for use in self.uses.values())
 
 
 class Open(msgspec.Struct, tag=32):
-    """Asks where the account of a program is; opened if it has none.
+    """Requests the placement of a program's account, opening it if needed.
 
     Attributes:
-        program: The program.
-        budget: All that it may use.
-        tokens: The most that one turn uses.
+        program: Program id.
+        budget: Total tokens that the program may use.
+        tokens: Maximum tokens of one turn.
     """
 
     program: str
@@ -172,15 +185,15 @@
 
 
 class Reserve(msgspec.Struct, tag=1):
-    """Asks for the permission to use up to ``tokens`` in one attempt.
+    """Requests a budget reservation for one attempt.
 
     Attributes:
-        program: The program.
-        attempt: The attempt.
-        tokens: The most that it may use.
-        budget: All that the program may use.
-        place: Where the account is, if it is known to be open.
-        alone: Whether one instance is to grant it out of its own share.
+        program: Program id.
+        attempt: Attempt id.
+        tokens: Maximum tokens that the attempt may use.
+        budget: Total tokens that the program may use.
+        place: Placement of the account, if it is known to be open.
+        alone: Whether the receiver should grant it alone out of its share.
     """
 
     program: str
@@ -192,12 +205,13 @@
 
 
 class Recorded(msgspec.Struct, tag=31):
-    """The reservation is on the disk of one holder.
+    """The reservation is on one holder's disk.
 
     Attributes:
-        taken: The most that was used, as known there, this one included.
-        limit: What the holders may grant together, as known there.
-        digest: Holders with the same digest know the same uses.
+        taken: Maximum tokens used as known to this holder, including this
+            reservation.
+        limit: Total tokens that the holders may grant, as known to this one.
+        digest: Digest of the uses; holders with equal digests know the same.
     """
 
     taken: int
@@ -206,17 +220,17 @@
 
 
 class Full(msgspec.Struct, tag=34):
-    """A holder knows of so many uses that there is no room."""
+    """The uses known to the holder leave too little of the budget."""
 
 
 class Reserved(msgspec.Struct, tag=2):
-    """The permission: enough holders have recorded it."""
+    """The reservation is granted: enough holders have recorded it."""
 
     taken: int
 
 
 class Spent(msgspec.Struct, tag=3):
-    """The budget holds no such turn any more."""
+    """The rest of the budget is too small for the reservation."""
 
     budget: int
     settled: int
@@ -224,29 +238,29 @@
 
 
 class Elsewhere(msgspec.Struct, tag=4):
-    """These are to hold the account; whether it is open, they know."""
+    """Other holders were agreed on; only they know if the account is open."""
 
     holders: tuple[str, ...]
 
 
 class Unsure(msgspec.Struct, tag=5):
-    """It can't be said here and now."""
+    """The receiver can't answer for certain at present."""
 
     why: str
 
 
 class CutOff(msgspec.Struct, tag=39):
-    """It reaches no other storage instance, and opens no account."""
+    """The receiver reaches no other storage instance to open accounts."""
 
 
 class Settle(msgspec.Struct, tag=6):
-    """Says what an attempt used in the end.
+    """Reports the final use of an attempt.
 
     Attributes:
-        program: The program.
-        attempt: The attempt.
-        tokens: What it used.
-        alone: Whether one instance has granted it out of its own share.
+        program: Program id.
+        attempt: Attempt id.
+        tokens: Tokens used.
+        alone: Whether one instance granted the reservation out of its share.
     """
 
     program: str
@@ -256,52 +270,52 @@
 
 
 class Done(msgspec.Struct, tag=7):
-    """It was done."""
+    """The request was carried out."""
 
 
 class Show(msgspec.Struct, tag=35):
-    """Asks a holder for an account; answered with ``Shown``."""
+    """Requests a holder's replica of an account; the reply is ``Shown``."""
 
     program: str
 
 
 class Shown(msgspec.Struct, tag=36):
-    """An account as one holder knows it."""
+    """A holder's replica of an account."""
 
     account: Account
 
 
 class Merge(msgspec.Struct, tag=18):
-    """Tells holders what others know of accounts."""
+    """Sends accounts as other holders know them, to be merged."""
 
     accounts: list[Account]
 
 
 class GiveBack(msgspec.Struct, tag=37):
-    """Asks one that may have granted tokens alone to grant no more."""
+    """Requests that a sharer grant no more tokens alone."""
 
     program: str
 
 
 class GivenBack(msgspec.Struct, tag=38):
-    """It grants no more alone, which is on its disk.
+    """The sharer grants no more alone, and has this on disk.
 
     Attributes:
-        used: The most that was used of what it has granted.
+        used: Maximum tokens used of those that it has granted.
     """
 
     used: int
 
 
 class Agree(msgspec.Struct, tag=8):
-    """Asks whether ``keeper`` may open an account at these holders.
+    """Requests consent to open an account at these holders.
 
     Attributes:
-        program: The program.
-        keeper: Who asks.
-        holders: Who is to hold it.
-        roster: All storage instances that the asker knows of.
-        is_decided: Whether the store says that these are the holders.
+        program: Program id.
+        keeper: Name of the requesting storage instance.
+        holders: Proposed holders of the account.
+        roster: All storage instances that the requester knows.
+        is_decided: Whether the platform store records these holders.
     """
 
     program: str
@@ -312,21 +326,22 @@
 
 
 class Agreed(msgspec.Struct, tag=9):
-    """Yes, and it is written down.
+    """Consent is given and on disk.
 
     Attributes:
-        has_share: Whether it has granted tokens alone, or may do so.
+        has_share: Whether the instance has granted tokens alone, or may do so.
     """
 
     has_share: bool = False
 
 
 class Refused(msgspec.Struct, tag=10):
-    """No: these have it, or, if empty, somebody is opening it.
+    """Consent is refused.
 
     Attributes:
-        holders: Whom the one that was asked has agreed to.
-        is_open: Whether it knows that the account is open there.
+        holders: Holders that the instance has already agreed to; empty if it
+            is opening the account itself.
+        is_open: Whether it knows that the account is open at these holders.
     """
 
     holders: tuple[str, ...]
@@ -334,17 +349,17 @@
 
 
 class Outdated(msgspec.Struct, tag=23):
-    """The asker does not know of all these storage instances."""
+    """The requester's roster lacks some of these storage instances."""
 
     roster: list[str]
 
 
 class Ping(msgspec.Struct, tag=24):
-    """Asks whether anybody is there; answered with ``Pong``.
+    """Checks that the receiver responds; the reply is ``Pong``.
 
     Attributes:
-        run: Run of the process whose last ``Pong`` was heard, or empty.
-        after: Position of that ``Pong``.
+        run: Run id in the last ``Pong`` that was received, or empty.
+        after: Position in that ``Pong``.
     """
 
     run: str = ""
@@ -352,14 +367,14 @@
 
 
 class Pong(msgspec.Struct, tag=28):
-    """Says what fronts have told of crashes since.
+    """Returns what front ends have reported of crashes since the last pong.
 
     Attributes:
-        run: Id of the process's run.
-        position: Of the newest note.
+        run: Run id of the process.
+        position: Position of the newest note.
         notes: Crashes and finished runs.
-        revision: Revision of the store with which the instance last heard that
-            a storage instance came, went or changed.
+        revision: Store revision at which the instance last learned that a
+            storage instance was added, removed or changed.
     """
 
     run: str
@@ -369,32 +384,34 @@
 
 
 class Crashed(msgspec.Struct, tag=29):
-    """Tells of crashes and finished runs; answered with ``Done``."""
+    """Reports crashes and finished runs; the reply is ``Done``."""
 
     notes: list[CrashNote]
 
 
 class Keep(msgspec.Struct, tag=11):
-    """Asks to keep a turn; answered when it is on disk."""
+    """Requests that a turn be kept; the reply follows once it is on disk."""
 
     kept: KeptTurn
 
 
 class Fetch(msgspec.Struct, tag=12):
-    """Asks for a turn and all that it continues."""
+    """Requests a turn and all turns that it continues."""
 
     turn: str
 
 
 class Chain(msgspec.Struct, tag=13):
-    """The turns found, newest first.
+    """The turns that were found, newest first.
 
     Attributes:
-        turns: Each continues the next one.
-        missing: Where the chain ends here though it goes on, or empty.
-        whole: Whether this instance would know of the missing one.
-        unlisted: Storage instances that it has known lately, which are not
-            registered any more; they may have the missing one.
+        turns: Turns, each of which continues the next one.
+        missing: Id of the next turn of the chain, which is not held here, or
+            empty if the chain is complete.
+        whole: Whether this instance has recovered and would have the missing
+            turn if it should keep it.
+        unlisted: Storage instances that were known recently and are not
+            registered any more. They may hold the missing turn.
     """
 
     turns: list[KeptTurn]
@@ -404,14 +421,14 @@
 
 
 class Follow(msgspec.Struct, tag=14):
-    """Asks what was taken in since a position of a run.
+    """Requests the entries of the change log after a position.
 
     Attributes:
-        asker: Name of the asking storage instance. Whoever is followed
-            counts it from then on when an account is opened.
-        run: Run of the one that is asked.
-        after: Position up to which everything was taken.
-        asker_run: Run of the one that asks.
+        asker: Name of the requesting storage instance. From then on the
+            receiver requires its consent when it opens an account.
+        run: Run id of the receiver for which the position holds.
+        after: Position up to which the requester has everything.
+        asker_run: Run id of the requester.
     """
 
     asker: str
@@ -421,12 +438,12 @@
 
 
 class AccountRef(msgspec.Struct, frozen=True, array_like=True):
-    """An account that a storage instance holds, as it knows it.
+    """Version of an account at one holder.
 
     Attributes:
-        program: The program.
-        digest: Holders with the same digest know the same uses.
-        limit: What the holders may grant together.
+        program: Program id.
+        digest: Digest of the uses; holders with equal digests know the same.
+        limit: Total tokens that the holders may grant.
     """
 
     program: str
@@ -435,21 +452,22 @@
 
 
 class News(msgspec.Struct, tag=15):
-    """What was taken in since then.
+    """Entries of the change log after the requested position.
 
     Attributes:
-        run: Id of the process's run; positions begin anew with each.
-        position: Where to go on.
+        run: Run id of the process; positions start over with each run.
+        position: Position from which to continue.
         turns: Turns kept.
-        homes: Homes written down.
-        accounts: Accounts that the asker should hold. It may have missed
-            permissions, and be the last to hold them.
-        whole: Whether the instance has all that it should.
-        more: Whether there is more at once.
+        homes: Homes recorded.
+        accounts: Accounts of which the requester is a holder. It may have
+            missed reservations, and may be the last one to store them.
+        whole: Whether the instance has recovered all data that it should have.
+        more: Whether further entries are available at once.
         revision: As in ``Pong``.
-        is_counted: Whether the asker is listed here.
-        absent: Others that were known lately and may have something that the
-            asker has lost. None if the asker is new: it had nothing.
+        is_counted: Whether the requester is listed here.
+        absent: Other instances that were known recently and may have data that
+            the requester has lost. Empty if the requester is new and so had no
+            data.
     """
 
     run: str
@@ -465,51 +483,51 @@
 
 
 class FetchAccounts(msgspec.Struct, tag=40):
-    """Asks for the accounts of programs."""
+    """Requests the accounts of programs."""
 
     programs: list[str]
 
 
 class Accounts(msgspec.Struct, tag=41):
-    """Those that are held here."""
+    """The requested accounts that are held here."""
 
     accounts: list[Account]
 
 
 class FetchTurns(msgspec.Struct, tag=16):
-    """Asks for turns by id."""
+    """Requests turns by id."""
 
     turns: list[str]
 
 
 class Turns(msgspec.Struct, tag=17):
-    """Those that are there."""
+    """The requested turns that are held here."""
 
     turns: list[KeptTurn]
 
 
 class Lacking(msgspec.Struct, tag=19):
-    """Asks which of these turns are not there."""
+    """Requests which of these turns are not held; also the reply to that."""
 
     turns: list[str]
 
 
 class StoreList(msgspec.Struct, tag=20):
-    """Asks to read a prefix of the platform's store for the asker."""
+    """Requests all keys under a prefix of the platform store."""
 
     prefix: str
 
 
 class StoreWatch(msgspec.Struct, tag=21):
-    """Asks to watch prefixes of the platform's store for the asker.
+    """Watches prefixes of the platform store.
 
-    Answered once one of them has changed, or when the time is over.
+    The reply follows once one of the prefixes has changed, or on a timeout.
 
     Attributes:
-        prefix: A prefix.
+        prefix: Prefix to watch.
         after: Revision up to which its changes are known.
-        seconds: How long to wait.
-        others: The same of further prefixes.
+        seconds: Timeout.
+        others: Revisions of further prefixes to watch, by prefix.
     """
 
     prefix: str
@@ -519,7 +537,13 @@
 
 
 class StoreItem(msgspec.Struct):
-    """A key; a value of None says that it was removed."""
+    """A key of the platform store.
+
+    Attributes:
+        key: Key.
+        value: Value, or None if the key was removed.
+        revision: Revision of the entry.
+    """
 
     key: str
     value: bytes | None
@@ -527,15 +551,15 @@
 
 
 class StoreItems(msgspec.Struct, tag=22):
-    """What the store said.
+    """Keys or changes of the platform store.
 
     Attributes:
-        items: Keys, or changes of them.
-        revision: The store's revision.
-        waits: Revision at which keys were missing that are listed on, as they
-            may be back soon; 0 if there are none.
-        others: The same of the further prefixes that were asked for, without
-            those of which nothing can be said.
+        items: Keys, or changes of keys.
+        revision: Revision of the store.
+        waits: Revision at which keys were missing that are still listed, as
+            they may return soon; 0 if there are none.
+        others: Results for the further requested prefixes, except those whose
+            state is unknown.
     """
 
     items: list[StoreItem]
@@ -586,7 +610,7 @@
 
 
 def codec() -> Codec:
-    """Returns the codec of all messages here."""
+    """Returns the codec of all messages of this module."""
     return Codec(_UNION)
 
 
--- a/libs/keeper/src/rattanmill_keeper/permits.py
+++ b/libs/keeper/src/rattanmill_keeper/permits.py
@@ -1,4 +1,4 @@
-"""A front's permissions to spend a program's budget."""
+"""Budget reservations by front ends, and their settlement."""
 
 import asyncio
 import collections
@@ -7,7 +7,7 @@
 import msgspec
 
 from rattanmill_core import loop_seconds, warn_event
-from rattanmill_keeper.accounts import is_permitted, join, majority
+from rattanmill_keeper.accounts import is_granted, majority, merge_accounts
 from rattanmill_keeper.members import Member, rank
 from rattanmill_keeper.messages import (
     Account,
@@ -32,40 +32,44 @@
 )
 from rattanmill_keeper.reach import Reach
 
-# An instance that opens an account asks the others (0.15 s at most) and
-# perhaps the store (0.3 s).
-_OPEN_SECONDS = 0.55
-# One that has not opened it by then mostly never answers, and another is
-# asked besides: opening takes two trips and a sync, 20 ms at most.
-_OPEN_DOUBT_SECONDS = 0.1
-_MOST_OPENERS = 4
-# Where one says that it is cut off, this front mostly is as well. Another one
-# that can be reached opens an account in 20 ms.
-_CUT_SECONDS = 0.08
-# A holder answers after a trip and a sync, 10 ms. Under load some take five
-# times as long.
-_RECORD_SECONDS = 0.25
-_AWAY_SECONDS = 0.05
-_COMPARE_SECONDS = 0.15
-_ALONE_SECONDS = 0.1
-_SETTLE_SECONDS = 0.5
-# A holder that is away is back within seconds, in the worst case after all
-# machines have lost power. What a majority does not hear counts as used in
-# full, and the program would be told too early that its budget is spent.
-_SETTLE_TRIES = 40
-_SETTLE_PAUSE_SECONDS = 0.75
-_MOST_PROGRAMS = 20_000
+# An instance that opens an account asks the others (up to 0.15 s) and possibly
+# the platform store (0.3 s).
+_OPEN_TIMEOUT_SECONDS = 0.55
+# Delay before a hedged request to the next instance. Opening takes two round
+# trips and a sync, at most 20 ms, so an instance that has not replied by then
+# usually never does.
+_OPEN_HEDGE_SECONDS = 0.1
+_MAX_OPENERS = 4
+# Timeout once an instance has reported that it is cut off, as this front end
+# then usually is, too. Any instance that is reachable opens an account within
+# 20 ms.
+_CUT_OFF_TIMEOUT_SECONDS = 0.08
+# A holder replies after a round trip and a sync, 10 ms. Under load some take
+# five times as long.
+_RECORD_TIMEOUT_SECONDS = 0.25
+_UNRESPONSIVE_TIMEOUT_SECONDS = 0.05
+_RECONCILE_TIMEOUT_SECONDS = 0.15
+_ALONE_TIMEOUT_SECONDS = 0.1
+_SETTLE_TIMEOUT_SECONDS = 0.5
+# An unresponsive holder returns within seconds, in the worst case after all
+# machines have lost power. A reservation whose settlement does not reach a
+# majority counts as used in full, and the program would be told too early that
+# its budget is spent.
+_MAX_SETTLE_TRIES = 40
+_SETTLE_RETRY_SECONDS = 0.75
+_MAX_PROGRAMS = 20_000
 
 
 class BudgetClient:
-    """Reserves budgets and books what was used.
+    """Reserves tokens of programs' budgets and settles their use.
 
     Attributes:
-        opened: Where accounts are, by program.
-        alone: Who has granted an attempt out of its own share, by attempt.
+        opened: Placements of accounts, by program; least recently used first.
+        granted_alone_by: Name of the storage instance that granted a
+            reservation out of its share, by attempt.
 
     Args:
-        reach: The storage instances.
+        reach: Links to the storage instances.
     """
 
     def __init__(self, reach: Reach) -> None:
@@ -75,110 +79,116 @@
         )
         self.granted_alone_by: dict[str, str] = {}
 
-    async def reserve(self, ask: Reserve) -> Reserved | Spent | Unsure:
-        """Asks for the permission to run a turn.
+    async def reserve(self, request: Reserve) -> Reserved | Spent | Unsure:
+        """Reserves tokens for a turn.
 
-        A program that has no account yet gets one in this failure domain, or
-        elsewhere if nobody answers here.
+        If the program has no account yet, one is opened in this failure domain
+        or, if no instance responds here, in another.
         """
         began = loop_seconds()
-        reply: Reserved | Spent | Unsure = Unsure("the caller left")
+        reply: Reserved | Spent | Unsure = Unsure("the caller disconnected")
         try:
-            opened = await self._find(ask)
+            opened = await self._locate_account(request)
             if isinstance(opened, Opened):
-                reply = await self._reserve(ask, opened.place)
+                reply = await self._reserve_at_holders(request, opened.place)
             else:
-                reply = await self._reserve_alone(ask, opened)
+                reply = await self._reserve_alone(request, opened)
         finally:
             if not isinstance(reply, Reserved):
-                # It may have been recorded, and would count for ever.
-                self.settle_later(ask.program, ask.attempt, 0)
+                # It may have been recorded, and would never be settled.
+                self.settle_later(request.program, request.attempt, 0)
         self.reach.metrics.observe(
             "rattanmill_reserve_seconds", loop_seconds() - began
         )
         return reply
 
     def settle_later(self, program: str, attempt: str, tokens: int) -> None:
-        """Tells the holders what an attempt has used, until they know."""
+        """Reports an attempt's use to the holders in the background."""
         granted_by = self.granted_alone_by.pop(attempt, "")
-        said = Settle(program, attempt, tokens, bool(granted_by))
+        settlement = Settle(program, attempt, tokens, bool(granted_by))
         for name in {*self.holders_of(program), granted_by} - {""}:
-            self.reach.spawn(self._settle(said, name))
+            self.reach.spawn(self._settle(settlement, name))
 
     def holders_of(self, program: str) -> tuple[str, ...]:
-        """Returns the holders of a program's account, if they are known."""
+        """Returns the holders of a program's account; empty if unknown."""
         opened = self.opened.get(program)
         return opened.place.holders if opened else ()
 
-    async def _settle(self, said: Settle, name: str) -> None:
-        for _ in range(_SETTLE_TRIES):
+    async def _settle(self, settlement: Settle, name: str) -> None:
+        for _ in range(_MAX_SETTLE_TRIES):
             member = self.reach.members.known.get(name)
             if member and not self.reach.is_away(member):
-                reply = await self.reach.ask(member, said, _SETTLE_SECONDS)
+                reply = await self.reach.ask(
+                    member, settlement, _SETTLE_TIMEOUT_SECONDS
+                )
                 if reply is not None:
                     return
-            await asyncio.sleep(_SETTLE_PAUSE_SECONDS)
-        # The reservation stays there: the program seems to have used more
-        # than it did, never less.
+            await asyncio.sleep(_SETTLE_RETRY_SECONDS)
+        # The reservation remains at this holder: the program appears to have
+        # used more than it did, but never less.
         warn_event(
             "settle_lost",
-            program=said.program,
-            attempt=said.attempt,
+            program=settlement.program,
+            attempt=settlement.attempt,
             keeper=name,
         )
 
-    async def _find(self, ask: Reserve) -> Opened | Unsure:
-        """Returns where a program's account is; has it opened if needed.
+    async def _locate_account(self, request: Reserve) -> Opened | Unsure:
+        """Returns the placement of an account, having it opened if needed.
 
-        One after the other is asked, the next one also when the one before
-        takes long: it may have been killed just then.
+        Instances are asked one after the other, with a hedged request to the
+        next one if a reply takes long: the instance may just have been killed.
         """
-        known = self.opened.get(ask.program)
+        known = self.opened.get(request.program)
         if known:
-            self.opened.move_to_end(ask.program)
+            self.opened.move_to_end(request.program)
             return known
-        message = Open(ask.program, ask.budget, ask.tokens)
-        queue = self._openers(ask.program)
+        message = Open(request.program, request.budget, request.tokens)
+        queue = self._opener_queue(request.program)
         asked: set[str] = set()
         asks: set[asyncio.Task] = set()
-        reply = Unsure("no storage instance")
-        patience = _OPEN_SECONDS
+        reply = Unsure("no storage instance is known")
+        timeout_seconds = _OPEN_TIMEOUT_SECONDS
         while True:
             opener = self._next_opener(queue, asked)
             if opener is None and not asks:
                 return reply
             if opener is not None:
                 asked.add(opener.name)
-                work = self.reach.ask(opener, message, patience)
+                work = self.reach.ask(opener, message, timeout_seconds)
                 asks.add(self.reach.spawn(work))
             done, asks = await asyncio.wait(
                 asks,
-                timeout=_OPEN_DOUBT_SECONDS if queue else None,
+                timeout=_OPEN_HEDGE_SECONDS if queue else None,
                 return_when=asyncio.FIRST_COMPLETED,
             )
-            for said in (task.result() for task in done):
-                match said:
+            for found in (task.result() for task in done):
+                match found:
                     case Opened():
-                        self._remember(ask.program, said)
-                        return said
+                        self._remember(request.program, found)
+                        return found
                     case Elsewhere(holders=holders):
-                        reply = Unsure("its holders do not answer")
-                        queue = self._by_distance(ask.program, holders)
+                        reply = Unsure(
+                            "the holders of the account do not respond"
+                        )
+                        queue = self._by_preference(request.program, holders)
                     case CutOff():
-                        reply = Unsure("cut off from other storage instances")
-                        patience = _CUT_SECONDS
+                        reply = Unsure("the storage instance reaches no others")
+                        timeout_seconds = _CUT_OFF_TIMEOUT_SECONDS
                     case Unsure():
-                        reply = said
+                        reply = found
                     case None:
-                        reply = Unsure("silent")
+                        reply = Unsure("no storage instance responds")
 
-    def _openers(self, program: str) -> list[Member]:
+    def _opener_queue(self, program: str) -> list[Member]:
         there = self.reach.members.known.values()
         names = [member.name for member in there if not member.leaving]
-        return self._by_distance(program, names)
+        return self._by_preference(program, names)
 
-    def _by_distance(self, program: str, names: Iterable[str]) -> list[Member]:
-        """Orders members whom to ask, last those that did not answer."""
+    def _by_preference(
+        self, program: str, names: Iterable[str]
+    ) -> list[Member]:
+        """Orders members by preference, with unresponsive ones last."""
         members = self.reach.members.known
         order = rank(program, members)
         return sorted(
@@ -193,11 +203,12 @@
     def _next_opener(
         self, queue: list[Member], asked: set[str]
     ) -> Member | None:
-        """Takes the next one that is worth asking off the queue."""
-        while queue and len(asked) < _MOST_OPENERS:
+        """Removes the next member to ask from the queue and returns it."""
+        while queue and len(asked) < _MAX_OPENERS:
             member = queue.pop(0)
-            # Whoever has asked one has an answer: waiting for those that are
-            # out of reach would only hold it back, by a second in a cut.
+            # Once another member was asked, unresponsive ones are skipped.
+            # Waiting for them would only delay the reply, by a second during
+            # a partition.
             is_late = bool(asked) and self.reach.is_away(member)
             if member.name not in asked and not is_late:
                 return member
@@ -206,34 +217,39 @@
 
     def _remember(self, program: str, opened: Opened) -> None:
         self.opened[program] = opened
-        if len(self.opened) > _MOST_PROGRAMS:
+        if len(self.opened) > _MAX_PROGRAMS:
             self.opened.popitem(last=False)
 
-    async def _reserve(
-        self, ask: Reserve, place: Place
+    async def _reserve_at_holders(
+        self, request: Reserve, place: Place
     ) -> Reserved | Spent | Unsure:
-        """Asks all holders; a majority of them gives the permission."""
-        ask = msgspec.structs.replace(ask, place=place)
+        """Reserves at all holders, a majority of which grants it."""
+        request = msgspec.structs.replace(request, place=place)
         count = len(place.holders)
         for _ in range(2):
-            replies = await self._record(ask, place)
-            if is_permitted(replies, count, ask.tokens):
+            replies = await self._record_at_holders(request, place)
+            if is_granted(replies, count, request.tokens):
                 return Reserved(max(reply.taken for reply in replies))
             if len(replies) < majority(count):
-                refusal = Unsure("too few holders of the account answer")
-                return await self._reserve_alone(ask, refusal)
-            settled = await self._compare(ask, place)
+                refusal = Unsure("too few holders of the account respond")
+                return await self._reserve_alone(request, refusal)
+            settled = await self._reconcile(request, place)
             if settled is not None:
                 return settled
-        return Unsure("the holders do not agree on what was used")
+        return Unsure("the holders differ on what was used")
 
-    async def _record(
-        self, ask: Reserve, place: Place
+    async def _record_at_holders(
+        self, request: Reserve, place: Place
     ) -> list[Recorded | Full]:
-        """Returns what holders say, once that is enough or all was said."""
+        """Returns the replies of holders, once they decide or all are in."""
         asks = {
             self.reach.spawn(
-                self.reach.ask(member, ask, _RECORD_SECONDS, _AWAY_SECONDS)
+                self.reach.ask(
+                    member,
+                    request,
+                    _RECORD_TIMEOUT_SECONDS,
+                    _UNRESPONSIVE_TIMEOUT_SECONDS,
+                )
             )
             for member in self._members(place.holders)
         }
@@ -242,9 +258,9 @@
             done, asks = await asyncio.wait(
                 asks, return_when=asyncio.FIRST_COMPLETED
             )
-            said = [task.result() for task in done]
-            replies += [r for r in said if isinstance(r, Recorded | Full)]
-            if _is_enough(replies, len(place.holders), ask.tokens):
+            batch = [task.result() for task in done]
+            replies += [r for r in batch if isinstance(r, Recorded | Full)]
+            if _is_decided(replies, len(place.holders), request.tokens):
                 break
         return replies
 
@@ -253,31 +269,34 @@
         return [known[name] for name in names if name in known]
 
     async def _reserve_alone(
-        self, ask: Reserve, refusal: Unsure
+        self, request: Reserve, refusal: Unsure
     ) -> Reserved | Unsure:
-        """Asks for tokens that one instance may grant alone.
+        """Reserves tokens out of the share of one instance.
 
-        A failure domain that is cut off goes on so, with programs that began
-        there and with new ones.
+        This lets a failure domain that is cut off continue, with programs that
+        began there as well as with new ones.
 
         Args:
-            ask: What is asked for.
-            refusal: Why the permission could not be had otherwise.
+            request: The reservation.
+            refusal: Why the holders did not grant it.
         """
-        alone = msgspec.structs.replace(ask, alone=True)
-        for member in self._near(ask.place.sharers if ask.place else ()):
-            reply = await self.reach.ask(member, alone, _ALONE_SECONDS)
+        alone = msgspec.structs.replace(request, alone=True)
+        for member in self._responsive_sharers(
+            request.place.sharers if request.place else ()
+        ):
+            reply = await self.reach.ask(member, alone, _ALONE_TIMEOUT_SECONDS)
             if isinstance(reply, Reserved):
-                self.granted_alone_by[ask.attempt] = member.name
+                self.granted_alone_by[request.attempt] = member.name
                 return reply
             if isinstance(reply, Full):
-                refusal = Unsure("what may be granted alone is used up")
+                refusal = Unsure("the share of this failure domain is used up")
         return refusal
 
-    def _near(self, sharers: tuple[str, ...]) -> list[Member]:
-        """Returns who may grant alone and does answer.
+    def _responsive_sharers(self, sharers: tuple[str, ...]) -> list[Member]:
+        """Returns the responsive members that may grant alone.
 
-        For a program without an account that is an instance of this domain.
+        For a program without an account these are the instances of this
+        failure domain.
         """
         members = self._members(sharers) or [
             member
@@ -286,66 +305,79 @@
         ]
         return [m for m in members if not self.reach.is_away(m)]
 
-    async def _compare(
-        self, ask: Reserve, place: Place
+    async def _reconcile(
+        self, request: Reserve, place: Place
     ) -> Spent | Unsure | None:
-        """Puts together what holders know, where one has no room.
+        """Merges the holders' replicas after one lacked budget.
 
-        None if there is room after all, and the holders know it now.
+        Returns:
+            None if the merged account leaves room, which was sent to the
+            holders; otherwise the refusal.
         """
         members = self._members(place.holders)
         sharers = self._members(place.sharers)
-        said = await asyncio.gather(
+        replies = await asyncio.gather(
             *(
-                self.reach.ask(member, Show(ask.program), _COMPARE_SECONDS)
+                self.reach.ask(
+                    member, Show(request.program), _RECONCILE_TIMEOUT_SECONDS
+                )
                 for member in members
             ),
             *(
-                self.reach.ask(member, GiveBack(ask.program), _COMPARE_SECONDS)
+                self.reach.ask(
+                    member,
+                    GiveBack(request.program),
+                    _RECONCILE_TIMEOUT_SECONDS,
+                )
                 for member in sharers
             ),
         )
-        shown = [reply for reply in said if isinstance(reply, Shown)]
-        given = [reply for reply in said if isinstance(reply, GivenBack)]
+        shown = [reply for reply in replies if isinstance(reply, Shown)]
+        returned = [reply for reply in replies if isinstance(reply, GivenBack)]
         if len(shown) < majority(len(place.holders)):
-            return Unsure("too few holders of the account answer")
-        joined = join([reply.account for reply in shown])
-        is_given = len(given) == len(place.sharers)
-        if is_given:
-            used = sum(reply.used for reply in given)
-            spare = joined.place.reserved - used
-            joined.given = max(joined.given, spare)
-        joined.uses.pop(ask.attempt, None)
-        if joined.taken + ask.tokens <= joined.limit:
-            return await self._tell(members, joined)
-        if not is_given and joined.limit < joined.budget:
-            return Unsure("part of the budget is set aside out of reach")
-        running = joined.taken - joined.settled
-        # What a turn used may be known only to one that is out of reach.
+            return Unsure("too few holders of the account respond")
+        merged = merge_accounts([reply.account for reply in shown])
+        all_returned = len(returned) == len(place.sharers)
+        if all_returned:
+            used = sum(reply.used for reply in returned)
+            spare = merged.place.reserved - used
+            merged.given = max(merged.given, spare)
+        merged.uses.pop(request.attempt, None)
+        if merged.taken + request.tokens <= merged.limit:
+            return await self._send_merged(members, merged)
+        if not all_returned and merged.limit < merged.budget:
+            return Unsure(
+                "part of the budget is set aside at unreachable instances"
+            )
+        running = merged.taken - merged.settled
+        # The final use of a turn may be known only to an unreachable holder.
         is_sure = len(shown) == len(place.holders)
-        if not is_sure and joined.settled + ask.tokens <= joined.limit:
-            return Unsure("turns may have ended that count in full here")
-        return Spent(joined.budget, joined.settled, running)
+        if not is_sure and merged.settled + request.tokens <= merged.limit:
+            return Unsure("ended turns may still count in full")
+        return Spent(merged.budget, merged.settled, running)
 
-    async def _tell(
+    async def _send_merged(
         self, members: list[Member], account: Account
     ) -> Unsure | None:
         message = Merge([account])
-        told = await asyncio.gather(
-            *(self.reach.ask(m, message, _RECORD_SECONDS) for m in members)
+        replies = await asyncio.gather(
+            *(
+                self.reach.ask(m, message, _RECORD_TIMEOUT_SECONDS)
+                for m in members
+            )
         )
-        if sum(isinstance(reply, Done) for reply in told) < majority(
+        if sum(isinstance(reply, Done) for reply in replies) < majority(
             len(account.place.holders)
         ):
-            return Unsure("too few holders of the account answer")
+            return Unsure("too few holders of the account respond")
         return None
 
 
-def _is_enough(
+def _is_decided(
     replies: list[Recorded | Full], holders: int, tokens: int
 ) -> bool:
-    """Whether the rest of the replies would change nothing."""
-    if is_permitted(replies, holders, tokens):
+    """Whether further replies can't change the outcome."""
+    if is_granted(replies, holders, tokens):
         return True
     is_full = any(isinstance(reply, Full) for reply in replies)
     return is_full and len(replies) >= majority(holders)
--- a/libs/keeper/src/rattanmill_keeper/records.py
+++ b/libs/keeper/src/rattanmill_keeper/records.py
@@ -1,4 +1,4 @@
-"""What a storage instance writes to its disk, and how."""
+"""Records on the disk of a storage instance, and their encoding."""
 
 import os
 import pathlib
@@ -15,9 +15,9 @@
 )
 from rattanmill_keeper.messages import KeptTurn
 
-# Written once the instance has all that it should; a disk without it is new
-# or was lost.
-_MARK = "whole"
+# File name of the marker, which is written once the instance has recovered. A
+# disk without it is new, or replaces one that was lost.
+_MARKER_FILE = "whole"
 
 Record = (
     AccountChange
@@ -32,25 +32,26 @@
 
 
 class CompletionMarker(msgspec.Struct, frozen=True):
-    """What stands on the disk of an instance that has all that it should.
+    """Marker on the disk of an instance that has recovered all its data.
 
     Attributes:
-        alone_from: Seconds since 1970 from which it may grant alone to
-            programs that it has not heard of.
+        alone_from: Time from which the instance may grant alone to programs
+            that it does not know, in seconds since 1970.
     """
 
     alone_from: float = float("inf")
 
 
 def encode(record: Record) -> bytes:
-    """Returns a record as the journal holds it."""
+    """Returns the encoded form of a journal record."""
     return _ENCODER.encode(record)
 
 
 def decode(data: bytes) -> Record | None:
-    """Returns a record of the journal; None if it can't be read.
+    """Returns a decoded journal record; None if it can't be decoded.
 
-    It was written by a newer version, or is damaged where the checksum fits.
+    Such a record was written by a newer version, or is corrupt in spite of a
+    matching checksum.
     """
     try:
         return _DECODER.decode(data)
@@ -59,28 +60,28 @@
         return None
 
 
-def write_marker(folder: pathlib.Path, mark: CompletionMarker) -> None:
-    """Writes the mark, unless there is one.
+def write_marker(folder: pathlib.Path, marker: CompletionMarker) -> None:
+    """Writes and syncs the marker, unless it exists.
 
-    Synced, or a power loss takes it, and the instance that comes back with all
-    its data takes itself for one that lost its disk.
+    If a power loss dropped an unsynced marker, the instance would restart with
+    all its data and yet conclude that it had lost its disk.
     """
-    path = folder / _MARK
+    path = folder / _MARKER_FILE
     if path.exists():
         return
     with path.open("wb") as file:
-        file.write(msgspec.json.encode(mark))
+        file.write(msgspec.json.encode(marker))
         file.flush()
         os.fsync(file.fileno())
 
 
 def read_marker(folder: pathlib.Path) -> CompletionMarker | None:
-    """Returns the mark; None if there is none.
+    """Returns the marker; None if there is none.
 
-    One that can't be read says that all is there, and not what was granted
-    alone.
+    A marker that can't be decoded still means that the data is complete, but
+    not since when the instance may grant alone.
     """
-    path = folder / _MARK
+    path = folder / _MARKER_FILE
     if not path.exists():
         return None
     try:
--- a/libs/keeper/src/rattanmill_keeper/turns.py
+++ b/libs/keeper/src/rattanmill_keeper/turns.py
@@ -1,4 +1,4 @@
-"""Kept turns in memory, by id; the journal holds them on disk."""
+"""In-memory table of kept turns, which the journal holds on disk."""
 
 from collections.abc import Iterable
 
@@ -7,17 +7,17 @@
 from rattanmill_core import wall_seconds
 from rattanmill_keeper.messages import Chain, KeptTurn
 
-# Beyond its time a turn is kept this long, against clocks that differ
-# between instances or jump by seconds.
-_MARGIN_SECONDS = 15.0
+# Time for which a turn is kept beyond its expiry, as clocks differ between
+# instances or may jump by seconds.
+_EXPIRY_MARGIN_SECONDS = 15.0
 
 
 class HeldTurn(msgspec.Struct):
-    """A turn and where it lies.
+    """A turn and its location in the journal.
 
     Attributes:
         kept: The turn.
-        segment: Segment of the journal that it lies in.
+        segment: Number of the journal segment that contains it.
     """
 
     kept: KeptTurn
@@ -29,7 +29,7 @@
 
     Attributes:
         held: Turns by id.
-        bytes: Size of their texts.
+        bytes: Total size of their texts.
     """
 
     def __init__(self) -> None:
@@ -37,7 +37,7 @@
         self.bytes = 0
 
     def add(self, kept: KeptTurn, segment: int) -> bool:
-        """Takes a turn in; False if it is held already."""
+        """Adds a turn; returns False if it is already held."""
         if kept.turn in self.held:
             return False
         self.held[kept.turn] = HeldTurn(kept, segment)
@@ -45,7 +45,7 @@
         return True
 
     def chain(self, turn: str) -> Chain:
-        """Returns a turn and all that it continues, as far as held here."""
+        """Returns a turn and all turns that it continues, if held here."""
         turns = []
         while held := self.held.get(turn):
             turns.append(held.kept)
@@ -53,54 +53,56 @@
         return Chain(turns, turn)
 
     def get_many(self, turns: Iterable[str]) -> list[KeptTurn]:
-        """Returns those of the turns that are held."""
+        """Returns the turns that are held, of those given."""
         return [self.held[t].kept for t in turns if t in self.held]
 
     def missing(self, turns: Iterable[str]) -> list[str]:
-        """Returns those of the turns that are not held."""
+        """Returns the ids that are not held, of those given."""
         return [turn for turn in turns if turn not in self.held]
 
     def expire(self) -> list[str]:
-        """Drops turns whose time is over and returns their ids.
+        """Drops expired turns and returns their ids.
 
-        One that another turn continues is held for as long as that one, in
-        whatever order the two came in.
+        A turn that another turn continues is held for as long as that one, in
+        whatever order the two were added.
         """
-        now = wall_seconds() - _MARGIN_SECONDS
+        now = wall_seconds() - _EXPIRY_MARGIN_SECONDS
         needed = {t for t, h in self.held.items() if h.kept.expires >= now}
-        look_at = list(needed)
-        while look_at:
-            previous = self.held[look_at.pop()].kept.previous
+        unvisited = list(needed)
+        while unvisited:
+            previous = self.held[unvisited.pop()].kept.previous
             if previous in self.held and previous not in needed:
                 needed.add(previous)
-                look_at.append(previous)
-        old = [turn for turn in self.held if turn not in needed]
-        for turn in old:
+                unvisited.append(previous)
+        expired = [turn for turn in self.held if turn not in needed]
+        for turn in expired:
             self.bytes -= len(self.held.pop(turn).kept.text)
-        return old
+        return expired
 
     def segments(self) -> set[int]:
-        """Returns the segments of the journal that hold turns still held."""
+        """Returns the journal segments that contain held turns."""
         return {held.segment for held in self.held.values()}
 
 
 class HomeEntry(msgspec.Struct, frozen=True):
-    """Stands for the home of a program where others stand for its account.
+    """Change log entry for the home of a program.
 
-    The account changes with each use, which concerns its holders alone; where
-    it is, all have to know, once.
+    It is separate from the entry for the program's account: the account
+    changes with each use and matters only to its holders, whereas its home
+    must reach all instances, but only once.
     """
 
     program: str
 
 
 class ChangeLog:
-    """Order in which turns, homes and uses came in, for those who follow.
+    """Ordered log of turns, homes and uses for instances that follow this one.
 
     Attributes:
         position: Position of the newest entry.
-        entries: What came in, by position: the id of a turn, that of a program
+        entries: Entries by position: the id of a turn, the id of a program
             whose account has changed, or a home.
+        positions: Position of each entry.
     """
 
     def __init__(self) -> None:
@@ -109,23 +111,25 @@
         self.positions: dict[str | HomeEntry, int] = {}
 
     def add(self, entry: str | HomeEntry) -> None:
-        """Appends an entry; one that is there already moves to the end."""
+        """Appends an entry; an existing one moves to the end."""
         self.remove(entry)
         self.position += 1
         self.entries[self.position] = entry
         self.positions[entry] = self.position
 
     def remove(self, entry: str | HomeEntry) -> None:
-        """Forgets an entry."""
+        """Removes an entry, if it exists."""
         position = self.positions.pop(entry, 0)
         self.entries.pop(position, None)
 
-    def since(self, after: int, most: int) -> list[tuple[int, str | HomeEntry]]:
-        """Returns the oldest entries after a position, up to ``most``."""
+    def since(
+        self, after: int, limit: int
+    ) -> list[tuple[int, str | HomeEntry]]:
+        """Returns the oldest entries after a position, up to ``limit``."""
         newer = []
         for position, entry in reversed(self.entries.items()):
             if position <= after:
                 break
             newer.append((position, entry))
         newer.reverse()
-        return newer[:most]
+        return newer[:limit]
