--- a/libs/keeper/src/rattanmill_keeper/permits.py
+++ b/libs/keeper/src/rattanmill_keeper/permits.py
@@ -289,7 +289,9 @@
                 self.granted_alone_by[request.attempt] = member.name
                 return reply
             if isinstance(reply, Full):
-                refusal = Unsure("the share of this failure domain is used up")
+                refusal = Unsure(
+                    "the share that may be granted alone is used up"
+                )
         return refusal
 
     def _responsive_sharers(self, sharers: tuple[str, ...]) -> list[Member]:
--- a/tests/features/keeping.feature
+++ b/tests/features/keeping.feature
@@ -1,193 +1,199 @@
 Feature: Budgets and turns on the disks of storage instances
-  Storage instances agree on nothing but where each account is. What they
-  have promised holds through cuts, kills and one lost disk.
+  Storage instances only have to agree on the holders of each account.
+  Reservations and kept turns survive partitions, kills and one lost disk.
 
   Scenario: No program gets more than its budget and one turn, whatever happens
-    Storage instances are cut off from each other and from the store, killed,
-    replaced, and lose a disk, while turns of one program reach each of them.
-    An account that is opened twice, or a permission that is forgotten, lets
-    the program spend its budget twice.
+    Storage instances are partitioned from each other and from the store,
+    killed, replaced, and lose a disk, while turns of one program reach each of
+    them. If an account were opened twice, or a reservation lost, the program
+    could spend its budget twice.
 
-    Then no sequence of cuts, kills, lost disks and lost replies lets a program use more than its budget and one turn
+    Then no sequence of partitions, kills, lost disks and lost replies lets a program use more than its budget and one turn
 
-  Scenario Outline: A rule of permissions that is broken on purpose
-    What is proved is worth something only if the same measure notices it.
+  Scenario Outline: A rule of reservations that is broken on purpose
+    Checks that the test of the bound detects a violation.
 
-    When a story is played in which it matters that "<rule>" is wrong
+    When a sequence of faults that exposes the mutation "<mutation>" is run without it
     Then the program uses no more than its budget and one turn
-    When it is played with the rule broken
+    When it is run with the mutation
     Then the program uses more than its budget and one turn
 
     Examples:
-      | rule                                                 |
-      | one holder's word is enough                          |
-      | an instance counts before it has followed the others |
+      | mutation                                                       |
+      | one holder counts as a majority                                |
+      | an instance counts as recovered before it followed the others  |
 
-  Scenario: An opener grants its share and loses its disk
-    What it granted alone is known to nobody then. With a share set aside anew
-    the program gets it twice.
+  Scenario: An opening instance grants its share and loses its disk
+    No other instance knows what it granted alone. If it set a new share aside,
+    the program would get the share twice.
 
-    When an opener has granted its share and lost its disk
+    When an opening instance has granted its share and lost its disk
     Then the program uses no more than its budget and one turn
-    When an opener has granted its share and lost its disk, and begins anew
+    When an opening instance has granted its share and lost its disk, and opens a new share
     Then the program uses more than its budget and one turn
 
   Scenario: The naive version opens an account wherever a turn arrives
     Given storage instances "a, b, c, d"
-    When "a, b" are cut off from "c, d" and turns of 20 programs reach both
+    When "a, b" are partitioned from "c, d" and turns of 20 programs reach both sides
     Then no program has used more than its budget and one turn
-    When the same is played with accounts that are opened without asking
+    When the same is run with accounts that are opened without consent
     Then a program has used more than its budget and one turn
 
-  Scenario: One storage instance and the store are away
+  Scenario: One storage instance and the store are unreachable
     A machine is replaced while the store is down. New programs must not wait
-    for either to come back.
+    for either to return.
 
     Given storage instances "a, b, c"
-    When "c" is killed and the store is away
-    Then a new program gets a permission at "a"
+    When "c" is killed and the store is unreachable
+    Then a new program gets a reservation at "a"
 
   Scenario: A new program in a failure domain that is cut off
-    Its storage instance reaches nobody, and the balancer sends callers there
-    for some seconds more. They get a few turns out of a part of the budget
-    that the others leave alone, and go on elsewhere with the rest.
+    The domain's storage instance reaches no other, and the balancer sends
+    callers there for some more seconds. They get a few turns out of a share of
+    the budget that the others do not grant, and continue elsewhere with the
+    rest.
 
     Given storage instances "a, b, c"
-    When "a" is cut off from "b, c" and the store is away
-    Then a new program gets a permission at "a"
-    And the same program gets a permission at "b"
+    When "a" is partitioned from "b, c" and the store is unreachable
+    Then a new program gets a reservation at "a"
+    And the same program gets a reservation at "b"
 
-  Scenario: An instance that has lost its disk and is cut off then
-    It can't tell what it had granted alone before, and grants nothing so.
+  Scenario: An instance that has lost its disk is cut off afterwards
+    It does not know what it had granted alone before, so it grants nothing
+    alone.
 
     Given storage instances "a, b, c"
-    When "a" loses its disk and has followed the others
-    And "a" is cut off from "b, c" and the store is away
-    Then a new program gets no permission at "a"
-    And the same program gets a permission at "b"
+    When "a" loses its disk and recovers from the others
+    And "a" is partitioned from "b, c" and the store is unreachable
+    Then a new program gets no reservation at "a"
+    And the same program gets a reservation at "b"
 
   Scenario: A machine was replaced, and later a failure domain is cut off
-    The one that is gone is not listed any more, but counted when accounts are
-    opened, it would keep all new programs waiting for the cut to end.
+    The removed instance is no longer listed. If accounts still needed its
+    consent, all new programs would wait for the end of the partition.
 
     Given storage instances "a, b, c"
-    When "a" is replaced by "d" of its domain, which is still listed
-    And the registration of "a" has lapsed for long
+    When "a" is replaced by "d" of its domain while still listed
+    And the registration of "a" expired long ago
     And "d" has followed the others
-    And "c" is killed and the store is away
-    Then a new program gets a permission at "b"
+    And "c" is killed and the store is unreachable
+    Then a new program gets a reservation at "b"
 
-  Scenario: One whose registration has lapsed is alive
-    It was cut off for long and is not counted any more. What it opens when
-    it reaches the others again must not be opened a second time.
+  Scenario: An instance whose registration has expired is alive
+    It was cut off for a long time, so its consent is not required any more. An
+    account that it opens when it reaches the others again must not be opened a
+    second time.
 
     Given storage instances "a, b, c"
-    When "a" is cut off from "b, c" and the store is away
-    And the registration of "a" has lapsed for long
-    Then a new program gets no permission at "a"
-    And the same program gets a permission at "b"
-
-  Scenario: A front whose failure domain is cut off
-    It still hears its own storage instance, and a watch of the store waits
-    there without a sign that nobody will answer. While it says that it is
-    ready, the balancer sends it new callers that it can only refuse.
-
-    Given a front of "east" that hears only the storage instance of "east"
-    When the store does not answer
-    Then the front is cut off
-    When the store answers
-    Then the front is not cut off
+    When "a" is partitioned from "b, c" and the store is unreachable
+    And the registration of "a" expired long ago
+    Then a new program gets no reservation at "a"
+    And the same program gets a reservation at "b"
+
+  Scenario: A front end whose failure domain is cut off
+    It still reaches its own storage instance, and a watch of the store waits
+    there without a sign that no reply will come. While the front end reports
+    that it is ready, the balancer sends it new callers that it can only refuse.
+
+    Given a front end of "east" that reaches only the storage instance of "east"
+    When the store does not reply
+    Then the front end is cut off
+    When the store replies
+    Then the front end is not cut off
 
   Scenario: A new program whose domain's storage instance refuses it
-    It is cut off, and refuses at once. Asking those that are out of reach
-    as well would hold the refusal back until the caller's time is half over.
+    That instance is cut off, and refuses at once. Asking unreachable instances
+    as well would delay the refusal until half of the caller's time is over.
 
-    Given a front of "east" that hears only the storage instance of "east"
-    When the store does not answer
+    Given a front end of "east" that reaches only the storage instance of "east"
+    When the store does not reply
     Then a new program is refused without asking "west, north"
 
   Scenario: An account becomes known with other holders while it is opened here
-    Two instances open the account of a new program at the same time, and a
-    front that the other has answered tells of it here first. If this one went
-    on with the holders that it had chosen, a front would ask holders who
-    refuse it, and the program would get 503 until it ends.
-
-    Given a storage instance that chooses the holders of a new account
-    When the account becomes known there with other holders
-    Then the instance names those holders and not its own
-
-  Scenario: Half of the storage instances heard of one opener first
-    Two open the account of a new program at the same time, and the others are
-    divided over whom they have agreed to. If each sticks to it for good, no
-    front ever gets a permission, and the program gets 503 until it ends.
+    Two instances open the account of a new program at once, and a front end
+    that the other one replied to reaches this one first. If this instance kept
+    the holders that it had chosen, a front end would ask holders that refuse
+    it, and the program would get 503 until it ends.
+
+    Given a storage instance that has chosen the holders of a new account
+    When the account becomes known with other holders
+    Then the instance returns those holders and not its own
+
+  Scenario: Each of two opening instances reaches half of the others first
+    Two instances open the account of a new program, and the others have
+    consented to different holders. If none of them ever changed its mind, no
+    front end would get a reservation, and the program would get 503 until it
+    ends.
 
     Given 12 storage instances in 4 failure domains
-    When two of them open an account at once and half of the others hear of each first
-    Then new fronts of all domains get permissions from the same holders
+    When two of them open an account at once and each reaches half of the others first
+    Then new front ends of all domains get reservations from the same holders
 
-  Scenario: The third storage instance heard of the later opener first
-    The opener whose name comes first refuses the other one, to which the third
-    has agreed already. Nobody gives way, and the program gets 503 until it
-    ends.
+  Scenario: The later opening instance reaches the third instance first
+    The opening instance whose name sorts first refuses the other one, to which
+    the third instance has already consented. If neither gave way, the program
+    would get 503 until it ends.
 
     Given 3 storage instances in 3 failure domains
-    When two of them open an account at once and half of the others hear of each first
-    Then new fronts of all domains get permissions from the same holders
+    When two of them open an account at once and each reaches half of the others first
+    Then new front ends of all domains get reservations from the same holders
 
-  Scenario: A storage instance that opened accounts is away
-    It is killed just as the next turn of a program asks. The other holders of
-    the account know what was used, and the program must not wait for it.
+  Scenario: A storage instance that opened accounts is down
+    It is killed just as the next turn of a program makes a reservation. The
+    other holders of the account know what was used, and the program must not
+    wait for it.
 
     Given storage instances "a, b, c"
     When a program has used half of its budget at "a"
     And "a" is killed
-    Then the program gets a further permission at "b"
+    Then the program gets a further reservation at "b"
 
   Scenario: A storage instance that opened accounts has lost its disk
-    It comes back with an empty disk. What its programs have used is known to
-    the other holders, and they go on; none begins anew.
+    It returns with an empty disk. The other holders know what its programs
+    have used, and the programs continue; none starts over with a full budget.
 
     Given storage instances "a, b, c"
     When a program has used half of its budget at "a"
-    And "a" loses its disk and has followed the others
+    And "a" loses its disk and recovers from the others
     And "b" is killed
-    Then the program gets a further permission at "a"
+    Then the program gets a further reservation at "a"
 
-  Scenario: All storage instances are killed and start again
-    Each goes on from its own disk. One that has forgotten what it recorded
-    gives the same tokens a second time as soon as another is away.
+  Scenario: All storage instances are killed and restarted
+    Each continues from its own disk. If one lost what it had recorded, it
+    would grant the same tokens again as soon as another one is unreachable.
 
     Given storage instances "a, b, c"
     When a program has used half of its budget at "a"
-    And "a, b, c" are killed and started again
-    And "a" is cut off from "b, c" and the store is away
-    Then the program is refused as not certain at "b"
+    And "a, b, c" are killed and restarted
+    And "a" is partitioned from "b, c" and the store is unreachable
+    Then the program is refused as uncertain at "b"
 
   Scenario: A program that has used its budget before a disk was lost
     Given storage instances "a, b, c"
     When a program has used its budget at "a"
-    And "a" loses its disk and has followed the others
+    And "a" loses its disk and recovers from the others
     Then the program is refused as spent at "a"
     And the program is refused as spent at "b"
 
-  Scenario: The share of the opener is lost with its disk
+  Scenario: The share of the opening instance is lost with its disk
     A part of the budget was set aside for the instance that opened the
-    account. Whether that was used, nobody knows: "spent" would be false.
+    account. No instance knows whether it was used, so "spent" would be wrong.
 
     Given storage instances "a, b, c"
     When a program has used half of its budget at "a"
-    And "a" loses its disk and has followed the others
-    Then the program is refused as not certain at "b"
+    And "a" loses its disk and recovers from the others
+    Then the program is refused as uncertain at "b"
 
   Scenario Outline: An account is opened twice, with different parts set aside
-    Guards against holders that never agree on how much may be used: the reply
-    of the first opener is lost, and the second one sets more or less aside.
+    Guards against holders that never agree on how much may be used. It happens
+    if the reply of the first opening instance is lost, and the second one sets
+    a different part aside.
 
     Given storage instances "a, b, c"
-    When "a" opens an account while "<first>" is out of reach
-    And "b" opens it as well while "<second>" is out of reach
-    Then the program may use all of its budget at "<name>"
-    And the program may use no more than that and one turn at "a, b, c"
+    When "a" opens an account while "<first>" is unreachable
+    And "b" also opens it while "<second>" is unreachable
+    Then the program can reserve all of its budget at "<name>"
+    And the program can reserve at most one more turn at "a, b, c"
 
     Examples:
       | first  | second | name |
@@ -198,71 +204,73 @@
       | c      | nobody | b    |
       | c      | nobody | c    |
 
-  Scenario: Two open an account at once, and one would grant alone
-    Guards against a part of the budget that one instance grants alone and the
-    others grant as well: the second opener asked before the part was set aside.
+  Scenario: Two instances open an account at once, and one would grant alone
+    Guards against a part of the budget that is granted by one instance alone
+    and again by the others, because the second opening instance asked before
+    the part was set aside.
 
     Given storage instances "a, b, c"
-    When "c" opens an account while "b" answers late, and "a" opens it meanwhile
-    Then no more than its budget and one turn are granted at "a", and "c" alone
+    When "c" opens an account while "b" replies late, and "a" opens it meanwhile
+    Then at most the budget and one turn are granted by "a" and by "c" alone
 
-  Scenario: A failure domain that is cut off goes on with its programs
-    Only the instance that opened the account can be reached. It grants a few
+  Scenario: A failure domain that is cut off continues with its programs
+    Only the instance that opened the account is reachable. It grants a few
     turns out of the share that is set aside for it.
 
     Given storage instances "a, b, c"
     When a program has used half of its budget at "a"
-    And "a" is cut off from "b, c" and the store is away
-    Then the program gets a further permission at "a"
+    And "a" is partitioned from "b, c" and the store is unreachable
+    Then the program gets a further reservation at "a"
 
-  Scenario: A storage instance is emptied while a turn runs
-    The turn's use is booked when the instance is gone. If its share of the
-    budget goes with it, the program is told too early that its budget is
-    spent.
+  Scenario: A storage instance is decommissioned while a turn runs
+    The turn's use is settled after the instance is gone. If its share of the
+    budget were lost with it, the program would be told too early that its
+    budget is spent.
 
     Given storage instances "a, b, c"
-    When a program has a turn running at "a", which is emptied and taken away
-    And the turn's use of 0 tokens is booked
-    Then the program gets a permission for all its budget at "c"
+    When a program has a turn running at "a", which is decommissioned and removed
+    And the turn's use of 0 tokens is settled
+    Then the program gets a reservation of its whole budget at "c"
 
-  Scenario: The order to empty an instance whose name begins with another's
-    Storage instance "a10" is to be taken away. If "a" took the order for its
-    own, it would hand over all it has and serve nobody any more.
+  Scenario: An order to decommission an instance whose name starts with another's
+    Storage instance "a10" is to be decommissioned. If "a" took the order as its
+    own, it would hand over all its data and stop serving.
 
     Given storage instances "a, b, c"
-    Then the order to empty "a10" does not move "a"
-    And the order to empty "a" does
+    Then the order to decommission "a10" has no effect on "a"
+    And the order to decommission "a" has an effect
 
-  Scenario: A caller leaves while its turn waits for the permission
-    The caller closes its connection just as the home writes the permission
-    down. If nobody takes it back, the program is told too early that its
+  Scenario: A caller disconnects while its turn waits for a reservation
+    The caller closes its connection just as a holder records the reservation.
+    If it were not released, the program would be told too early that its
     budget is spent.
 
     Given storage instances "a, b, c"
-    When a front asks for a permission and its caller leaves meanwhile
-    Then the permission is taken back
+    When a front end reserves tokens and its caller disconnects meanwhile
+    Then the reservation is released
 
-  Scenario: A turn ends as soon as its permission was asked for
-    Guards against word of its end that is booked before the reservation, which
-    would then count for ever.
+  Scenario: A turn ends as soon as its tokens are requested
+    Guards against a settlement that is recorded before the reservation, which
+    would then never be settled.
 
     Given storage instances "a, b, c"
-    When "b" hears at once of a reservation and of its end
+    When "b" receives a reservation and its settlement at once
     Then the program has used nothing at "b"
 
-  Scenario: A power loss takes what was not synced
-    An instance loses power. It comes back with all that it has acknowledged.
-    Taking itself for one that has lost its disk, it would serve nobody.
+  Scenario: A power loss drops what was not synced
+    An instance loses power and returns with all that it has acknowledged. If it
+    concluded that it had lost its disk, it would serve no requests.
 
     Given storage instances "a, b, c"
     When a program has used its budget at "a"
-    And "a" is killed and started again
-    Then "a" is whole
+    And "a" is killed and restarted
+    Then "a" has recovered
     And the program is refused as spent at "a"
 
-  Scenario: A turn that one domain took alone is spread
-    In a domain that is cut off, only its own disk can take a turn. Lost with
-    that disk after the cut, the conversation could not go on.
+  Scenario: A turn that one domain kept alone is spread
+    In a failure domain that is cut off, a turn can only be kept on the domain's
+    own disk. If that disk were lost after the partition, the conversation could
+    not continue.
 
     Given storage instances "a, b, c"
     When "a" keeps a turn alone
@@ -271,99 +279,102 @@
     Then "b" has the turn
 
   Scenario: Machines are replaced one after the other
-    Each new machine fills itself from the others, while its predecessor is
-    still listed. If it leaves the predecessor's share of the turns to that,
-    the turns are gone once all have been replaced, though never more than one
-    disk was lost at a time.
+    Each new machine fetches its data from the others while its predecessor is
+    still listed. If it skipped the turns that the predecessor should keep, the
+    turns would be lost once all machines have been replaced, though never more
+    than one disk was lost at a time.
 
     Given storage instances "a, b, c"
     When "a, b, c" keep 40 turns
-    And "a" is replaced by "d" of its domain, which is still listed
-    And "b" is replaced by "e" of its domain, which is still listed
-    And "c" is replaced by "f" of its domain, which is still listed
+    And "a" is replaced by "d" of its domain while still listed
+    And "b" is replaced by "e" of its domain while still listed
+    And "c" is replaced by "f" of its domain while still listed
     Then "d, e, f" have all 40 turns
 
   Scenario: Two disks are lost at once where two may be
-    The two that have recorded a permission come back empty. If nobody else
-    has it, the program gets the same tokens again.
+    The two holders that have recorded a reservation return with empty disks. If
+    no other holder has it, the program gets the same tokens again.
 
     Given 8 storage instances in 3 failure domains, two of which may lose their disks at once
-    When a program has used half of its budget at "s0" while one holder was away
-    And two holders that were there lose their disks and have followed the others
-    Then the program gets no more than the rest of its budget and one turn
+    When a program has used half of its budget at "s0" while one holder was unreachable
+    And two holders that were reachable lose their disks and recover from the others
+    Then the program gets at most the rest of its budget and one turn
 
   Scenario Outline: A long conversation over many storage instances
-    Its turns come through fronts of different domains, and each new one asks
-    for the whole chain. One link that nobody is asked for makes the caller
-    wait until it gives up, on calm days too.
+    Its turns come through front ends of different domains, each of which needs
+    the whole chain. If one turn were looked for at the wrong instances, the
+    caller would wait until its time is over, even without any fault.
 
     Given <count> storage instances in <domains> failure domains
-    When a conversation of 11 turns goes through fronts that have just started
-    Then a new front of each domain finds all 11 turns, the first asking 1 instance
-    When <away> storage instances of different domains are away
-    Then a new front of each domain finds all 11 turns
+    When a conversation of 11 turns goes through newly started front ends
+    Then a new front end of each domain finds all 11 turns by asking 1 instance
+    When <down> storage instances of different domains are down
+    Then a new front end of each domain finds all 11 turns
     When a storage instance joins each domain and 3 more turns are kept
-    Then a new front of each domain finds all 14 turns
+    Then a new front end of each domain finds all 14 turns
 
     Examples:
-      | count | domains | away |
+      | count | domains | down |
       | 8     | 3       | 1    |
       | 12    | 3       | 1    |
       | 12    | 4       | 1    |
       | 12    | 4       | 2    |
 
-  Scenario: Each turn of a conversation lies on another storage instance
-    Storage instances came and went again and again. Whoever has one turn does
-    not have the one before, and a front that asks each of them once misses it
-    for good.
+  Scenario: Each turn of a conversation is at another storage instance
+    Storage instances were added and removed many times. The instance that has
+    one turn does not have the turn before, which a front end that asks each
+    instance only once would never find.
 
     Given 12 storage instances in 4 failure domains
-    When 11 turns of a conversation lie on a storage instance each
-    Then a new front of each domain finds all 11 turns
+    When 11 turns of a conversation are kept at a storage instance each
+    Then a new front end of each domain finds all 11 turns
 
   Scenario: A conversation that another program continues
-    Its turns lie where the first program's are. Nobody tells the front which
-    program that was.
+    Its turns are at the instances selected by the first program, which the
+    front end does not know.
 
     Given 8 storage instances in 3 failure domains
-    When a conversation of 11 turns goes through fronts that have just started
-    Then a front that takes it for another program's finds all 11 turns
+    When a conversation of 11 turns goes through newly started front ends
+    Then a front end that assumes another program finds all 11 turns
 
   Scenario: A chain is kept for as long as the turn at its end
-    The first turn of a conversation is over when the last one ends. Dropped by
-    its own time, the conversation could not go on; it may also have come here
-    later than the one that continues it, from another disk.
+    The first turn of a conversation expires before the last one. If it were
+    dropped at its own expiry, the conversation could not continue. It may also
+    have been added after the turn that continues it, from another disk.
 
     Given storage instances "a, b, c"
     When "a" keeps a turn that expires at once and one that continues it
-    And "b" keeps them in the other order
+    And "b" keeps them in reverse order
     And the sweep has run
     Then "a" has both turns
     And "b" has both turns
 
-  Scenario: The journal after a power loss, cut at each byte
-    The newest segment ends anywhere, with or without garbage behind. All
-    records that were synced before are read, and nothing that was not written.
+  Scenario: The journal after a power loss, truncated at each byte
+    The newest segment may end at any byte, with or without garbage after it.
+    All records that were synced before must be read, and nothing that was not
+    written.
 
-    Then a journal cut at any byte gives back a prefix of its records
-    And so it does with each byte of its last record changed
+    Then a journal truncated at any byte yields a prefix of its records
+    And a journal with any byte of its last record changed yields the others
 
-  Scenario: A journal goes on in new segments and drops old ones
-    Turns expire, accounts do not. If a segment goes with the only record of
-    an account, the program begins anew after the next restart.
+  Scenario: A journal continues in new segments and drops old ones
+    Turns expire, but accounts do not. If a segment with the only record of an
+    account were dropped, the program would start over with a full budget after
+    the next restart.
 
     Given storage instances "a, b, c"
     When a program has used its budget at "a"
     And "a" keeps 18 MB of turns that expire at once
     And the sweep has run
     Then the first segment of "a" is gone
-    When "a" is killed and started again
+    When "a" is killed and restarted
     Then the program is refused as spent at "a"
 
-  Scenario: A peer goes silent while several ask it
-    One request is given up and the connection made anew. Whoever else was
-    sending on it must get its own verdict: taken for cancelled, a caller's
-    request ends without an answer, and a watch of the store for ever.
+  Scenario: A peer stops responding to several concurrent requests
+    One request times out and the connection is made anew. Every other request
+    on that connection must end by its own timeout: if it were considered
+    cancelled, a caller's request would end without a response, and a watch of
+    the store forever.
 
-    When 20 ask a peer that does not listen, one after the other giving up
-    Then each learns that there is no reply
+    When 20 requests to a peer that does not listen time out one after the other
+    Then each request ends without a reply
--- a/tests/features/review.feature
+++ b/tests/features/review.feature
@@ -1,14 +1,14 @@
-Feature: Openers of one account, and views that are old
-  Written to break the ways in which storage instances agree where an account
-  is.
+Feature: Concurrent opening of accounts, and outdated member lists
+  Searches for faults in how storage instances agree on the holders of an
+  account.
 
   Scenario Outline: Several open an account while the store and others fail
-    Messages and the store's answers come late or are lost, instances are
-    killed at any step, and one loses its disk. If two sets of holders grant,
-    the program gets its budget twice; if fronts find none, it is refused for
-    good.
+    Messages and replies of the store are late or lost, instances are killed at
+    any step, and one loses its disk. If two sets of holders granted, the
+    program would get its budget twice. If front ends found no holders, the
+    program would be refused until it ends.
 
-    Then in <count> stories of <instances> storage instances, <disks> of whose disks may be lost, one set of holders grants and all find it
+    Then in <count> runs of <instances> storage instances, <disks> of whose disks may be lost, one set of holders grants and all front ends find it
 
     Examples:
       | instances | disks | count |
@@ -16,90 +16,91 @@
       | 4         | 1     | 60    |
       | 12        | 2     | 15    |
 
-  Scenario: The stories notice an opener that does not ask the store
-    Then in stories of 4 storage instances that go on without the store's word, two sets of holders grant
+  Scenario: The runs detect an opening instance that does not ask the store
+    Then in a run of 4 storage instances that do not wait for the store's decision, two sets of holders grant
 
-  Scenario: Lists differ when the whole system starts for the first time
-    Three instances know only each other and open an account by consent; the
-    store is not told. One that knows all six, and two that agree to it, must
-    not take a store that knows of no holders for an account that is not open.
+  Scenario: Member lists differ when the whole system starts for the first time
+    Three instances know only each other and open an account by consent without
+    the store. An instance that knows all six, with two that consent to it, must
+    not conclude from a store without holders that the account is not open.
 
     Given storage instances "a, b, c, d, e, f"
-    When "a, b, c" have not heard of "d, e, f"
+    When "a, b, c" do not know of "d, e, f"
     And turns of a new program use up its budget at "a"
     Then the program's turns at "a, d" stay within its budget and one turn
 
-  Scenario: One that opened an account with the store is gone, and who knows of it is cut off
-    Two of four open it with the store. One is killed and left out once its
-    registration has lapsed, the other is out of reach: the rest are all but
-    one of those that count, and open it again without the store.
+  Scenario: An instance that opened an account with the store is gone, and the other one that knows it is cut off
+    Two of four instances open the account with the store. One is killed and
+    left out once its registration has expired, and the other is unreachable.
+    The rest are all but one of the roster, and open the account again without
+    the store.
 
     Given storage instances "a, b, c, d"
-    When "a, d" are cut off from "b, c"
-    And 4 turns of a new program run at "c", which is killed and not listed any more
+    When "a, d" are partitioned from "b, c"
+    And 4 turns of a new program run at "c", which is killed and no longer listed
     Then the program's turns at "a" stay within its budget and one turn
 
-  Scenario: One grants alone while it is cut off, and is left out then
-    What it has granted is set aside only while it is counted. Once its
-    registration has lapsed, the others give the whole budget.
+  Scenario: An instance grants alone while it is cut off, and is left out then
+    What it has granted is only set aside while it is in the roster. Once its
+    registration has expired, the others grant the whole budget.
 
     Given storage instances "a, b, c"
-    When "a" are cut off from "b, c"
+    When "a" are partitioned from "b, c"
     And a program that began at "a" has 1 turns running at "a"
-    And the registration of "a" has lapsed for long
+    And the registration of "a" expired long ago
     Then the program's turns at "b" stay within its budget and one turn
 
-  Scenario: One grants alone while it is cut off, and loses its disk then
-    It can't tell what it has granted, and says that it was nothing: the others
-    set nothing aside and give the whole budget.
+  Scenario: An instance grants alone while it is cut off, and loses its disk then
+    It does not know any more what it granted, and reports nothing. So the
+    others set nothing aside and grant the whole budget.
 
     Given storage instances "a, b, c"
-    When "a" are cut off from "b, c"
+    When "a" are partitioned from "b, c"
     And a program that began at "a" has 1 turns running at "a"
     And all reach each other and are listed
-    And "a" loses its disk and has followed the others
+    And "a" loses its disk and recovers from the others
     Then the program's turns at "b" stay within its budget and one turn
 
-  Scenario: One whose registration had lapsed starts again while it is cut off
-    With the restart it forgets that the others did not count it for a while.
-    So it grants alone what they have given away without it.
+  Scenario: An instance whose registration had expired restarts while it is cut off
+    The restart makes it forget that it was left out of the others' roster for
+    a while. It would grant alone what they have granted without it.
 
     Given storage instances "a, b, c"
     When "c" is cut off from "a, b", and its registration has lapsed for long
     And turns of a new program use up its budget at "a"
-    And "c" is killed and starts again
+    And "c" crashes and restarts
     And "c" is listed again while it is cut off
     Then the program's turns at "a, c" stay within its budget and one turn
 
-  Scenario: A caller leaves while the list is read for others as well
-    They share one reading of the store. When the caller that began it leaves,
-    the others must not be told that the store is silent.
+  Scenario: A caller disconnects while the member list is read for others as well
+    Several callers share one read of the store. If the caller that began it
+    disconnects, the others must not conclude that the store is unreachable.
 
-    When three look-ups wait for a reading of the list and the one that reads is given up
-    Then the others know that the store has told
+    When three lookups wait for a read of the member list and the one that reads is cancelled
+    Then the others learn that the store has replied
 
-  Scenario: One that has heard all is told by one that heard it later
-    The store's revision goes on with each write of any kind. Who reads the
-    list later dates the same change later, and all who had heard of it read
-    the list again for nothing.
+  Scenario: An instance that knows all changes receives a later revision of one
+    The store's revision increases with each write of any kind. An instance that
+    reads the list later assigns a later revision to the same change. All
+    instances that knew the change would read the list again for nothing.
 
-    When "b" hears of a change by its watch, other keys are written, and "a" reads the list
-    Then the answer of "a" does not make "b" read the list
+    When "b" receives a change by its watch, other keys are written, and "a" reads the list
+    Then the reply of "a" does not make "b" read the list
 
-  Scenario: One was emptied and is gone, and another one starts again
-    What is written down names all that were ever seen. Read back, the one that
-    is gone counts again: look-ups are not certain for two minutes, an opener
-    has one consent less to spare for an hour, and nothing is granted alone.
+  Scenario: An instance was decommissioned and removed, and another one restarts
+    The stored roster names all instances ever seen. If it were read back as it
+    is, the removed instance would be in the roster again: lookups would be
+    uncertain for two minutes, an opening instance would have one consent less
+    to spare for an hour, and nothing would be granted alone.
 
     Given storage instances "a, b, c, d"
-    When "a" was emptied and is gone, and "b" starts again
-    Then "b" does not count "a"
+    When "a" was decommissioned and removed, and "b" restarts
+    Then "b" does not include "a" in its roster
 
   Scenario: One of several storage instances of a domain dies
-    Fronts take a domain whose storage instances are silent for 0.4 s, and
-    whose endpoints are, for one that may be cut off. One dead instance is no
-    sign of that.
+    Front ends suspect that a domain is cut off if its storage instances and
+    its endpoints are silent for 0.4 s. One dead instance must not cause that.
 
     Given a front and 12 storage instances in 4 failure domains
     When one of them dies, 200 times at moments of its own
-    Then no domain was silent for as long as makes it suspect
+    Then no domain was silent for long enough to be suspected
--- a/tests/features/steps/keeping.py
+++ b/tests/features/steps/keeping.py
@@ -1,4 +1,4 @@
-"""Steps about accounts of budgets, run in this process."""
+"""Steps about budget accounts, run in this process."""
 
 import asyncio
 
@@ -19,15 +19,15 @@
 from support.keepers import run_in as network
 from support.stories import BUDGET, TOKENS
 
-# A request that another one overtakes.
-_LATE_SECONDS = 0.02
-# A caller that is refused comes back a few times.
-_OPEN_TRIES = 4
-_OPEN_PAUSE_SECONDS = 0.2
-# What one instance may grant alone of it is more than one turn.
+# Delay that lets another request overtake this one.
+_OVERTAKEN_SECONDS = 0.02
+# A caller that is refused retries a few times.
+_MAX_OPEN_TRIES = 4
+_OPEN_RETRY_SECONDS = 0.2
+# Its share for one instance is larger than one turn.
 LARGE_BUDGET = 10 * TOKENS
-# One that answers so late is waited for all the same.
-_SLOW_SECONDS = 0.1
+# Delay of a reply that is still waited for.
+_SLOW_REPLY_SECONDS = 0.1
 
 
 @given('storage instances "{names}"')
@@ -35,47 +35,47 @@
     begin(context, names.split(", "))
 
 
-@when('"{name}" is killed and the store is away')
+@when('"{name}" is killed and the store is unreachable')
 def step_kill_store(context, name):
     context.network.kv.away = True
     network(context, lambda n: n.kill(name))
 
 
-@when('"{name}" is cut off from "{others}" and the store is away')
+@when('"{name}" is partitioned from "{others}" and the store is unreachable')
 def step_cut_off(context, name, others):
     context.network.kv.away = True
     for other in others.split(", "):
         context.network.cuts.add(frozenset((name, other)))
 
 
-def ask(context, name, program, attempt="first", tokens=TOKENS):
-    asked = Reserve(program, attempt, tokens, BUDGET)
-    return network(context, lambda n: n.reserve(name, asked))
+def reserve_at(context, name, program, attempt="first", tokens=TOKENS):
+    request = Reserve(program, attempt, tokens, BUDGET)
+    return network(context, lambda n: n.reserve(name, request))
 
 
-@then('a new program gets a permission at "{name}"')
-@then('the same program gets a permission at "{name}"')
+@then('a new program gets a reservation at "{name}"')
+@then('the same program gets a reservation at "{name}"')
 def step_permitted(context, name):
-    reply = ask(context, name, "new")
+    reply = reserve_at(context, name, "new")
     assert isinstance(reply, Reserved), reply
 
 
-@then('a new program gets no permission at "{name}"')
+@then('a new program gets no reservation at "{name}"')
 def step_not_permitted(context, name):
-    reply = ask(context, name, "new")
+    reply = reserve_at(context, name, "new")
     assert isinstance(reply, Unsure), reply
 
 
 @when(
-    "two of them open an account at once and half of the others hear of each"
+    "two of them open an account at once and each reaches half of the others"
     " first"
 )
 def step_open_at_once(context):
     async def open_both(n):
         one, other, *rest = n.names
         for number, name in enumerate(rest):
-            n.delays[other if number % 2 else one, name] = _LATE_SECONDS
-        n.delays[one, other] = n.delays[other, one] = _LATE_SECONDS
+            n.delays[other if number % 2 else one, name] = _OVERTAKEN_SECONDS
+        n.delays[one, other] = n.delays[other, one] = _OVERTAKEN_SECONDS
         message = Open("new", BUDGET, TOKENS)
         await asyncio.gather(
             n.keepers[one].open(message), n.keepers[other].open(message)
@@ -85,23 +85,23 @@
     network(context, open_both)
 
 
-@then("new fronts of all domains get permissions from the same holders")
+@then("new front ends of all domains get reservations from the same holders")
 def step_same_holders(context):
     found = set()
     for name in context.near:
-        for attempt in range(_OPEN_TRIES):
+        for attempt in range(_MAX_OPEN_TRIES):
             attempt = f"{name}-{attempt}"
-            reply = ask(context, name, "new", attempt, BUDGET // 10)
+            reply = reserve_at(context, name, "new", attempt, BUDGET // 10)
             if isinstance(reply, Reserved):
                 break
-            network(context, lambda n: n.pass_time(_OPEN_PAUSE_SECONDS))
+            network(context, lambda n: n.pass_time(_OPEN_RETRY_SECONDS))
         assert isinstance(reply, Reserved), (name, reply)
         found.add(context.network.fronts[attempt].budgets.holders_of("new"))
     assert len(found) == 1, found
 
 
 def open_at(context, name, other):
-    """Opens an account at one instance while the others don't reach another."""
+    """Opens an account while no instance reaches another one."""
     cuts = {frozenset((each, other)) for each in context.network.names}
     context.network.cuts |= cuts
     message = Open("twice", BUDGET, TOKENS)
@@ -112,45 +112,45 @@
     return reply.place
 
 
-@when('"{name}" opens an account while "{other}" is out of reach')
+@when('"{name}" opens an account while "{other}" is unreachable')
 def step_open_first(context, name, other):
     context.first = open_at(context, name, other)
 
 
-@when('"{name}" opens it as well while "{other}" is out of reach')
+@when('"{name}" also opens it while "{other}" is unreachable')
 def step_open_second(context, name, other):
     second = open_at(context, name, other)
     assert second.holders == context.first.holders
     assert second.reserved != context.first.reserved, second
 
 
-@then('the program may use all of its budget at "{name}"')
+@then('the program can reserve all of its budget at "{name}"')
 def step_use_all(context, name):
     for number in range(BUDGET // TOKENS):
-        reply = ask(context, name, "twice", f"turn-{number}")
+        reply = reserve_at(context, name, "twice", f"turn-{number}")
         assert isinstance(reply, Reserved), (number, reply)
 
 
-@then('the program may use no more than that and one turn at "{names}"')
+@then('the program can reserve at most one more turn at "{names}"')
 def step_use_no_more(context, names):
     more = [
-        ask(context, name, "twice", f"more-{name}")
+        reserve_at(context, name, "twice", f"more-{name}")
         for name in names.split(", ")
     ]
     assert sum(isinstance(each, Reserved) for each in more) <= 1, more
 
 
 @when(
-    '"{name}" opens an account while "{other}" answers late, and "{second}"'
+    '"{name}" opens an account while "{other}" replies late, and "{second}"'
     " opens it meanwhile"
 )
 def step_open_both(context, name, other, second):
     message = Open("both", LARGE_BUDGET, TOKENS)
 
     async def open_both(net):
-        net.delays[name, other] = _SLOW_SECONDS
+        net.delays[name, other] = _SLOW_REPLY_SECONDS
         first = asyncio.create_task(net.keepers[name].open(message))
-        await asyncio.sleep(_SLOW_SECONDS / 2)
+        await asyncio.sleep(_SLOW_REPLY_SECONDS / 2)
         return await net.keepers[second].open(message), await first
 
     replies = network(context, open_both)
@@ -159,16 +159,16 @@
 
 
 @then(
-    'no more than its budget and one turn are granted at "{name}", and'
-    ' "{other}" alone'
+    'at most the budget and one turn are granted by "{name}" and by "{other}"'
+    " alone"
 )
 def step_granted_in_all(context, name, other):
     async def reserve(net, where):
-        asks = [
+        requests = [
             Reserve("both", f"{where}-{number}", TOKENS, LARGE_BUDGET)
             for number in range(LARGE_BUDGET // TOKENS + 2)
         ]
-        replies = [await net.reserve(where, each) for each in asks]
+        replies = [await net.reserve(where, each) for each in requests]
         return sum(isinstance(each, Reserved) for each in replies)
 
     granted = network(context, lambda net: reserve(net, name))
@@ -179,14 +179,14 @@
     assert granted * TOKENS <= LARGE_BUDGET + TOKENS, granted
 
 
-@when('"{name}" hears at once of a reservation and of its end')
+@when('"{name}" receives a reservation and its settlement at once')
 def step_end_at_once(context, name):
     place = open_at(context, "a", "nobody")
     reserve = Reserve("twice", "turn", TOKENS, BUDGET, place=place)
     messages = [reserve, Settle("twice", "turn", 0)]
 
     async def hear(n):
-        # As they come in: what needs no waiting is answered on the spot.
+        # As they arrive: messages that need no waiting are handled at once.
         replies = [n.keepers[name].answer(message) for message in messages]
         await asyncio.gather(*filter(asyncio.iscoroutine, replies))
 
@@ -202,22 +202,23 @@
 @when('a program has used its budget at "{name}"')
 def step_used_up(context, name):
     for attempt in ("one", "two", "three"):
-        reply = ask(context, name, "old", attempt, BUDGET // 3)
+        reply = reserve_at(context, name, "old", attempt, BUDGET // 3)
         assert isinstance(reply, Reserved), reply
 
 
 @when('a program has used half of its budget at "{name}"')
 def step_used_half(context, name):
     for attempt in ("one", "two"):
-        reply = ask(context, name, "old", attempt)
+        reply = reserve_at(context, name, "old", attempt)
         assert isinstance(reply, Reserved), reply
 
 
 @when(
-    'a program has a turn running at "{name}", which is emptied and taken away'
+    'a program has a turn running at "{name}", which is decommissioned and'
+    " removed"
 )
 def step_empty(context, name):
-    assert isinstance(ask(context, name, "moved", "one"), Reserved)
+    assert isinstance(reserve_at(context, name, "moved", "one"), Reserved)
 
     async def empty(n):
         emptying = Emptying(
@@ -233,7 +234,7 @@
     network(context, empty)
 
 
-@when("the turn's use of {tokens:d} tokens is booked")
+@when("the turn's use of {tokens:d} tokens is settled")
 def step_settle(context, tokens):
     async def settle(n):
         n.settle("moved", "one", tokens)
@@ -242,20 +243,20 @@
     network(context, settle)
 
 
-@then('the program gets a permission for all its budget at "{name}"')
+@then('the program gets a reservation of its whole budget at "{name}"')
 def step_all_budget(context, name):
-    reply = ask(context, name, "moved", "two", BUDGET)
+    reply = reserve_at(context, name, "moved", "two", BUDGET)
     assert isinstance(reply, Reserved), reply
 
 
-@then('the program gets a further permission at "{name}"')
+@then('the program gets a further reservation at "{name}"')
 def step_further(context, name):
-    reply = ask(context, name, "old", "further")
+    reply = reserve_at(context, name, "old", "further")
     assert isinstance(reply, Reserved), reply
 
 
-def is_ordered(context, keeper, name):
-    """Whether a keeper takes the order to empty an instance for its own."""
+def accepts_order(context, keeper, name):
+    """Whether an instance reacts to an order to decommission another."""
 
     async def order(n):
         emptying = Emptying(
@@ -271,24 +272,24 @@
     return network(context, order)
 
 
-@then('the order to empty "{name}" does not move "{keeper}"')
+@then('the order to decommission "{name}" has no effect on "{keeper}"')
 def step_not_ordered(context, name, keeper):
-    assert not is_ordered(context, keeper, name)
+    assert not accepts_order(context, keeper, name)
 
 
-@then('the order to empty "{name}" does')
+@then('the order to decommission "{name}" has an effect')
 def step_ordered(context, name):
-    assert is_ordered(context, name, name)
+    assert accepts_order(context, name, name)
 
 
-@when("a front asks for a permission and its caller leaves meanwhile")
+@when("a front end reserves tokens and its caller disconnects meanwhile")
 def step_leave(context):
     async def leave(n):
         members = LocalMembers(n, "front")
         for name in n.names:
             n.introduce(members, name)
         context.front = KeeperClient("domain-a", 2, members, Metrics())
-        asking = asyncio.create_task(
+        reservation = asyncio.create_task(
             context.front.budgets.reserve(
                 Reserve("left", "one", TOKENS, BUDGET)
             )
@@ -298,16 +299,16 @@
             if held and held.uses:
                 break
             await asyncio.sleep(0)
-        asking.cancel()
-        await asyncio.wait([asking])
-        assert asking.cancelled()
+        reservation.cancel()
+        await asyncio.wait([reservation])
+        assert reservation.cancelled()
 
     network(context, leave)
     account = context.network.keepers["a"].ledger.accounts["left"]
     assert account.uses, account
 
 
-@then("the permission is taken back")
+@then("the reservation is released")
 def step_taken_back(context):
     async def wait(n):
         if context.front.reach.tasks:
@@ -319,7 +320,7 @@
     network(context, wait)
 
 
-@when('"{name}" loses its disk and has followed the others')
+@when('"{name}" loses its disk and recovers from the others')
 def step_lose_disk(context, name):
     async def lose(n):
         await n.wipe(name)
@@ -333,23 +334,24 @@
 
 @when(
     'a program has used half of its budget at "{name}" while one holder was'
-    " away"
+    " unreachable"
 )
 def step_used_without_one(context, name):
-    assert isinstance(ask(context, name, "old", "one"), Reserved)
+    assert isinstance(reserve_at(context, name, "old", "one"), Reserved)
     holders = context.network.fronts["one"].budgets.holders_of("old")
     context.holders = holders
     for each in context.network.names:
         if each != holders[-1]:
             context.network.cuts.add(frozenset((each, holders[-1])))
     for attempt in ("two", "three"):
-        reply = ask(context, name, "old", attempt)
+        reply = reserve_at(context, name, "old", attempt)
         assert isinstance(reply, Reserved), reply
     context.network.cuts.clear()
 
 
 @when(
-    "two holders that were there lose their disks and have followed the others"
+    "two holders that were reachable lose their disks and recover from the"
+    " others"
 )
 def step_lose_two(context):
     async def lose(n):
@@ -365,17 +367,17 @@
     network(context, lose)
 
 
-@then("the program gets no more than the rest of its budget and one turn")
+@then("the program gets at most the rest of its budget and one turn")
 def step_rest(context):
     used = 3 * TOKENS
     for number in range(8):
         name = context.holders[number % len(context.holders)]
-        reply = ask(context, name, "old", f"rest-{number}")
+        reply = reserve_at(context, name, "old", f"rest-{number}")
         used += TOKENS * isinstance(reply, Reserved)
     assert used <= BUDGET + TOKENS, used
 
 
-@when('"{names}" are killed and started again')
+@when('"{names}" are killed and restarted')
 def step_restart_all(context, names):
     async def restart(n):
         for name in names.split(", "):
@@ -386,7 +388,7 @@
     network(context, restart)
 
 
-@when('"{name}" is killed and started again')
+@when('"{name}" is killed and restarted')
 def step_restart(context, name):
     async def restart(n):
         await n.kill(name)
@@ -400,24 +402,24 @@
     network(context, lambda n: n.kill(name))
 
 
-@then('"{name}" is whole')
+@then('"{name}" has recovered')
 def step_whole(context, name):
     assert context.network.keepers[name].whole
 
 
-@then('the program is refused as not certain at "{name}"')
+@then('the program is refused as uncertain at "{name}"')
 def step_unsure(context, name):
-    reply = ask(context, name, "old", f"last-{name}", BUDGET // 2)
+    reply = reserve_at(context, name, "old", f"last-{name}", BUDGET // 2)
     assert isinstance(reply, Unsure), reply
 
 
 @then('the program is refused as spent at "{name}"')
 def step_spent(context, name):
-    reply = ask(context, name, "old", f"last-{name}", 1)
+    reply = reserve_at(context, name, "old", f"last-{name}", 1)
     assert isinstance(reply, Spent), reply
 
 
-@when('the registration of "{name}" has lapsed for long')
+@when('the registration of "{name}" expired long ago')
 def step_lapse(context, name):
     async def lapse(n):
         n.lapse(name)
@@ -425,19 +427,19 @@
     network(context, lapse)
 
 
-@given("a storage instance that chooses the holders of a new account")
+@given("a storage instance that has chosen the holders of a new account")
 def step_choosing_holders(context):
     context.ledger = Ledger("a")
     context.chosen = Account("p", 1_000, Place(("a", "b", "c")))
 
 
-@when("the account becomes known there with other holders")
+@when("the account becomes known with other holders")
 def step_other_holders(context):
     context.other = Place(("a", "d", "e"))
     context.ledger.merge(Account("p", 1_000, context.other))
 
 
-@then("the instance names those holders and not its own")
+@then("the instance returns those holders and not its own")
 def step_names_others(context):
     assert context.ledger.open(context.chosen) is None
     assert context.ledger.find("p") == Opened(context.other)
--- a/tests/features/steps/keeping_cut.py
+++ b/tests/features/steps/keeping_cut.py
@@ -1,4 +1,4 @@
-"""Steps of a front whose failure domain is cut off."""
+"""Steps about a front end whose failure domain is cut off."""
 
 import asyncio
 
@@ -11,41 +11,47 @@
 from support.virtual import run_virtually
 
 _DOMAINS = ("east", "west", "north")
-# Pings and the bound of a cut are shorter, and no ping begins just then.
-_LONG_SECONDS = 2.1
+# Longer than the ping interval and the time after which a front end is cut
+# off, and not a moment at which a ping begins.
+_PING_PERIOD_SECONDS = 2.1
 
 
-class SilentLink:
-    """Counts what is asked; answers as told, else after the asker's time."""
+class FixedReplyLink:
+    """Counts requests, and returns a fixed reply or lets them time out."""
 
     def __init__(self, reply):
         self.reply = reply
-        self.asked = 0
+        self.requests = 0
 
     async def ask(self, message, seconds):
-        """Returns the reply, or None after the asker's time."""
-        self.asked += 1
+        """Returns the reply, or None after the timeout."""
+        self.requests += 1
         if self.reply is None:
             await asyncio.sleep(seconds)
         return self.reply
 
 
 class CutMembers(Members):
-    """One storage instance a domain, of which one answers."""
+    """One storage instance in each domain, of which one responds."""
 
     def __init__(self, kv, near):
         super().__init__(kv)
         reply = Unsure("cut off from all other storage instances")
         for domain in _DOMAINS:
             self.known[domain] = Member(domain, domain, "127.0.0.1:9", "r")
-            self.links[domain] = SilentLink(reply if domain == near else None)
+            self.links[domain] = FixedReplyLink(
+                reply if domain == near else None
+            )
 
     def link(self, member):
         """Returns the link to a member."""
         return self.links[member.name]
 
 
-@given('a front of "{domain}" that hears only the storage instance of "{near}"')
+@given(
+    'a front end of "{domain}" that reaches only the storage instance of'
+    ' "{near}"'
+)
 def step_front(context, domain, near):
     context.kv = AwayKv()
 
@@ -56,30 +62,30 @@
     context.make_client = make
 
 
-@when("the store does not answer")
+@when("the store does not reply")
 def step_store_away(context):
     context.kv.away = True
 
 
-@when("the store answers")
+@when("the store replies")
 def step_store_there(context):
     context.kv.away = False
 
 
-async def after_a_while(context):
-    """Returns a front that has asked for signs of life for a while."""
+async def pinging_client(context):
+    """Returns a front end that has sent pings for a while."""
     client = context.make_client()
-    # Heard before the cut.
+    # All instances responded before the partition.
     now = asyncio.get_running_loop().time()
     client.reach.heard = dict.fromkeys(_DOMAINS, now)
     pings = asyncio.create_task(client.reach.ping_for_ever())
-    await asyncio.sleep(_LONG_SECONDS)
+    await asyncio.sleep(_PING_PERIOD_SECONDS)
     pings.cancel()
     return client
 
 
-async def end(client):
-    """Ends what the front still asks for."""
+async def cancel_requests(client):
+    """Cancels the requests of a front end."""
     tasks = list(client.reach.tasks)
     for task in tasks:
         task.cancel()
@@ -88,20 +94,20 @@
 
 def is_cut_off(context):
     async def run():
-        client = await after_a_while(context)
+        client = await pinging_client(context)
         found = client.reach.is_cut_off()
-        await end(client)
+        await cancel_requests(client)
         return found
 
     return run_virtually(run())
 
 
-@then("the front is cut off")
+@then("the front end is cut off")
 def step_cut(context):
     assert is_cut_off(context)
 
 
-@then("the front is not cut off")
+@then("the front end is not cut off")
 def step_not_cut(context):
     assert not is_cut_off(context)
 
@@ -109,12 +115,12 @@
 @then('a new program is refused without asking "{names}"')
 def step_refused(context, names):
     async def run():
-        client = await after_a_while(context)
+        client = await pinging_client(context)
         links = client.reach.members.links
-        before = {name: links[name].asked for name in names.split(", ")}
+        before = {name: links[name].requests for name in names.split(", ")}
         reply = await client.budgets.reserve(Reserve("p", "a", 10, 100))
-        after = {name: links[name].asked for name in before}
-        await end(client)
+        after = {name: links[name].requests for name in before}
+        await cancel_requests(client)
         return reply, before, after
 
     reply, before, after = run_virtually(run())
--- a/tests/features/steps/keeping_proof.py
+++ b/tests/features/steps/keeping_proof.py
@@ -1,4 +1,4 @@
-"""Steps that prove the bound of budgets, and that the proof would notice."""
+"""Steps that test the bound of budgets, and that the test detects a breach."""
 
 import itertools
 import unittest.mock
@@ -18,7 +18,13 @@
 from rattanmill_keeper.ledger import Ledger
 from rattanmill_keeper.messages import Share
 from support.keepers import run_in as network
-from support.stories import BUDGET, MOST, OPERATIONS, TOKENS, play
+from support.stories import (
+    BUDGET,
+    MAX_TOKENS,
+    OPERATIONS,
+    TOKENS,
+    run_operations,
+)
 from support.virtual import run_virtually
 
 _RESERVE_ALONE = Ledger.reserve_alone
@@ -30,15 +36,15 @@
 
 
 @then(
-    "no sequence of cuts, kills, lost disks and lost replies lets a program"
-    " use more than its budget and one turn"
+    "no sequence of partitions, kills, lost disks and lost replies lets a"
+    " program use more than its budget and one turn"
 )
 def step_any_story(context):
     @hypothesis.given(OPERATIONS)
     @_SETTINGS
     def hold(operations):
-        used = run_virtually(play(operations))
-        assert all(tokens <= MOST for tokens in used.values()), used
+        used = run_virtually(run_operations(operations))
+        assert all(tokens <= MAX_TOKENS for tokens in used.values()), used
 
     hold()
 
@@ -47,56 +53,59 @@
     return Consent()
 
 
-async def _split(network, programs):
-    """Returns what programs use when turns reach both halves of a system."""
+async def _use_both_sides(network, programs):
+    """Returns tokens by program when turns reach both sides of a partition."""
     for pair in itertools.product("ab", "cd"):
         network.cuts.add(frozenset(pair))
     used = dict.fromkeys(programs, 0)
     for program, name, number in itertools.product(programs, "ad", range(6)):
-        ask = Reserve(program, f"{program}-{name}-{number}", TOKENS, BUDGET)
-        if isinstance(await network.reserve(name, ask), Reserved):
+        request = Reserve(program, f"{program}-{name}-{number}", TOKENS, BUDGET)
+        if isinstance(await network.reserve(name, request), Reserved):
             used[program] += TOKENS
     return used
 
 
 @when(
-    '"a, b" are cut off from "c, d" and turns of {count:d} programs reach both'
+    '"a, b" are partitioned from "c, d" and turns of {count:d} programs reach'
+    " both sides"
 )
 def step_split(context, count):
     programs = [f"asked-{number}" for number in range(count)]
-    context.used = network(context, lambda n: _split(n, programs))
+    context.used = network(context, lambda n: _use_both_sides(n, programs))
 
 
-@when("the same is played with accounts that are opened without asking")
+@when("the same is run with accounts that are opened without consent")
 def step_naive(context):
     for keeper in context.network.keepers.values():
         keeper.may_open = _open_alone
     programs = [f"naive-{number}" for number in range(20)]
-    context.used = network(context, lambda n: _split(n, programs))
+    context.used = network(context, lambda n: _use_both_sides(n, programs))
 
 
 @then("no program has used more than its budget and one turn")
 def step_none_over(context):
-    assert all(tokens <= MOST for tokens in context.used.values()), context.used
+    assert all(tokens <= MAX_TOKENS for tokens in context.used.values()), (
+        context.used
+    )
 
 
 @then("a program has used more than its budget and one turn")
 def step_one_over(context):
-    assert max(context.used.values()) > MOST, context.used
+    assert max(context.used.values()) > MAX_TOKENS, context.used
 
 
-def _any_is_whole(network):
-    """Lets whoever has lost its disk count before it has followed others."""
+def _skip_recovery(network):
+    """Makes instances count as recovered before they follow the others."""
     start = network.start
 
-    async def start_whole(name, first=False):
+    async def start_recovered(name, first=False):
         await start(name, True)
 
-    network.start = start_whole
+    network.start = start_recovered
 
 
-def _one_is_enough(network):
-    """Lets the word of one holder count as that of a majority."""
+def _need_one_holder(network):
+    """Makes one holder count as a majority."""
     network.stack.enter_context(
         unittest.mock.patch.object(permits, "majority", lambda holders: 1)
     )
@@ -105,11 +114,11 @@
     )
 
 
-class Broken(msgspec.Struct, frozen=True):
+class Mutation(msgspec.Struct, frozen=True):
     """A rule that is broken on purpose.
 
     Attributes:
-        operations: A story in which it matters.
+        operations: Sequence of operations in which it matters.
         prepare: Breaks the rule.
     """
 
@@ -117,42 +126,47 @@
     prepare: Callable
 
 
-_BROKEN = {
-    "one holder's word is enough": Broken(
+_MUTATIONS = {
+    "one holder counts as a majority": Mutation(
         [
             *[("ask", "a"), ("isolate", "a")],
             *[("ask", "a")] * 4,
             *[("ask", "b")] * 4,
         ],
-        _one_is_enough,
+        _need_one_holder,
     ),
-    "an instance counts before it has followed the others": Broken(
+    "an instance counts as recovered before it followed the others": Mutation(
         [
             ("isolate", "c"),
             *[("ask", "a")] * 4,
             *[("heal", "c"), ("wipe", "a"), ("isolate", "b")],
             *[("ask", "c")] * 4,
         ],
-        _any_is_whole,
+        _skip_recovery,
     ),
 }
 
 
-@when('a story is played in which it matters that "{rule}" is wrong')
-def step_sound(context, rule):
-    context.rule = _BROKEN[rule]
-    context.used = run_virtually(play(context.rule.operations))
+@when(
+    'a sequence of faults that exposes the mutation "{mutation}" is run without'
+    " it"
+)
+def step_sound(context, mutation):
+    context.mutation = _MUTATIONS[mutation]
+    context.used = run_virtually(run_operations(context.mutation.operations))
 
 
-@when("it is played with the rule broken")
+@when("it is run with the mutation")
 def step_mutated(context):
-    rule = context.rule
-    context.used = run_virtually(play(rule.operations, rule.prepare))
+    mutation = context.mutation
+    context.used = run_virtually(
+        run_operations(mutation.operations, mutation.prepare)
+    )
 
 
-# The opener grants what it may alone, and loses its disk; what it granted
-# then is known to nobody.
-_ALONE_TWICE = [
+# The opening instance grants its share and loses its disk. Then no instance
+# knows what it granted.
+_SHARE_LOST = [
     *[("ask", "a"), ("isolate", "a"), ("ask", "a"), ("ask", "a")],
     *[("heal", "a"), ("wipe", "a"), ("follow", "a"), ("isolate", "a")],
     *[("ask", "a"), ("heal", "a"), ("wipe", "a"), ("follow", "a")],
@@ -166,33 +180,36 @@
 ]
 
 
-def _share_again(network):
-    """Lets an opener that has lost its disk set a share aside again."""
+def _open_share_again(network):
+    """Lets an opening instance that lost its disk open a share again."""
 
-    def reserve_alone(ledger, ask, may_open_share):
-        ledger.shares.setdefault(ask.program, Share())
-        return _RESERVE_ALONE(ledger, ask, may_open_share)
+    def reserve_alone(ledger, request, may_open_share):
+        ledger.shares.setdefault(request.program, Share())
+        return _RESERVE_ALONE(ledger, request, may_open_share)
 
     network.stack.enter_context(
         unittest.mock.patch.object(Ledger, "reserve_alone", reserve_alone)
     )
 
 
-@when("an opener has granted its share and lost its disk")
+@when("an opening instance has granted its share and lost its disk")
 def step_alone_twice(context):
-    context.used = run_virtually(play(_ALONE_TWICE))
+    context.used = run_virtually(run_operations(_SHARE_LOST))
 
 
-@when("an opener has granted its share and lost its disk, and begins anew")
+@when(
+    "an opening instance has granted its share and lost its disk, and opens a"
+    " new share"
+)
 def step_alone_anew(context):
-    context.used = run_virtually(play(_ALONE_TWICE, _share_again))
+    context.used = run_virtually(run_operations(_SHARE_LOST, _open_share_again))
 
 
 @then("the program uses more than its budget and one turn")
 def step_over(context):
-    assert context.used["p"] > MOST, context.used
+    assert context.used["p"] > MAX_TOKENS, context.used
 
 
 @then("the program uses no more than its budget and one turn")
 def step_not_over(context):
-    assert TOKENS < context.used["p"] <= MOST, context.used
+    assert TOKENS < context.used["p"] <= MAX_TOKENS, context.used
--- a/tests/features/steps/keeping_turns.py
+++ b/tests/features/steps/keeping_turns.py
@@ -29,7 +29,7 @@
             keep(context, name, f"turn-{number}")
 
 
-@when('"{old}" is replaced by "{new}" of its domain, which is still listed')
+@when('"{old}" is replaced by "{new}" of its domain while still listed')
 def step_replace(context, old, new):
     async def replace(n):
         await n.wipe(old)
@@ -75,7 +75,7 @@
         {name: f"domain-{n % domains}" for n, name in enumerate(names)},
     )
     context.turns = 0
-    # One of each domain.
+    # One instance of each domain.
     context.near = names[:domains]
 
 
@@ -89,8 +89,8 @@
         members.lost_disks = 2
 
 
-def go_on(context, count):
-    """Keeps further turns of a conversation, each through another front."""
+def continue_conversation(context, count):
+    """Keeps further turns of a conversation, each through another front end."""
 
     async def keep_all(n):
         for number in range(context.turns, context.turns + count):
@@ -107,15 +107,12 @@
     context.turns += count
 
 
-@when(
-    "a conversation of {count:d} turns goes through fronts that have just"
-    " started"
-)
+@when("a conversation of {count:d} turns goes through newly started front ends")
 def step_converse(context, count):
-    go_on(context, count)
+    continue_conversation(context, count)
 
 
-@when("{count:d} turns of a conversation lie on a storage instance each")
+@when("{count:d} turns of a conversation are kept at a storage instance each")
 def step_scatter(context, count):
     for number in range(count):
         previous = f"t{number - 1}" if number else ""
@@ -124,7 +121,7 @@
 
 
 def find_all(context, name, chain="p"):
-    """Returns the turns that a new front finds, and whom it asked."""
+    """Checks that a new front end finds all turns; returns whom it asked."""
     asked = []
 
     async def find(n):
@@ -147,27 +144,27 @@
 
 
 @then(
-    "a new front of each domain finds all {count:d} turns, the first asking"
-    " {most:d} instance"
+    "a new front end of each domain finds all {count:d} turns by asking"
+    " {limit:d} instance"
 )
-def step_find_near(context, count, most):
+def step_find_near(context, count, limit):
     for name in context.near:
         asked = find_all(context, name)
-        assert len(asked) <= most, asked
+        assert len(asked) <= limit, asked
 
 
-@then("a new front of each domain finds all {count:d} turns")
+@then("a new front end of each domain finds all {count:d} turns")
 def step_find(context, count):
     for name in context.near:
         find_all(context, name)
 
 
-@then("a front that takes it for another program's finds all {count:d} turns")
+@then("a front end that assumes another program finds all {count:d} turns")
 def step_find_other(context, count):
     find_all(context, "s0", "another")
 
 
-@when("{count:d} storage instances of different domains are away")
+@when("{count:d} storage instances of different domains are down")
 def step_away(context, count):
     async def kill(n):
         for name in list(n.keepers)[-count:]:
@@ -188,7 +185,7 @@
                 n.introduce(n.members[each], name)
 
     network(context, join)
-    go_on(context, count)
+    continue_conversation(context, count)
 
 
 @when('"{name}" keeps a turn that expires at once and one that continues it')
@@ -197,7 +194,7 @@
     keep(context, name, "t2", "t1")
 
 
-@when('"{name}" keeps them in the other order')
+@when('"{name}" keeps them in reverse order')
 def step_keep_reversed(context, name):
     keep(context, name, "t2", "t1")
     keep(context, name, "t1", seconds=-100.0)
@@ -233,7 +230,7 @@
 _RECORDS = [b"one", b"", b"x" * 300, b"last"]
 
 
-@then("a journal cut at any byte gives back a prefix of its records")
+@then("a journal truncated at any byte yields a prefix of its records")
 def step_cut_anywhere(context):
     content = b"".join(map(encode_frame, _RECORDS))
     ends = [0]
@@ -246,7 +243,7 @@
             assert found == _RECORDS[:whole], (at, garbage, found)
 
 
-@then("so it does with each byte of its last record changed")
+@then("a journal with any byte of its last record changed yields the others")
 def step_change_each(context):
     content = b"".join(map(encode_frame, _RECORDS))
     start = len(content) - len(encode_frame(_RECORDS[-1]))
@@ -258,7 +255,8 @@
 
 
 @when(
-    "{count:d} ask a peer that does not listen, one after the other giving up"
+    "{count:d} requests to a peer that does not listen time out one after the"
+    " other"
 )
 def step_ask_silent(context, count):
     async def ask_all():
@@ -274,6 +272,6 @@
     context.replies = asyncio.run(ask_all())
 
 
-@then("each learns that there is no reply")
+@then("each request ends without a reply")
 def step_no_reply(context):
     assert context.replies and set(context.replies) == {None}, context.replies
--- a/tests/features/steps/lookups.py
+++ b/tests/features/steps/lookups.py
@@ -1,4 +1,4 @@
-"""Steps about turns that a front does not find where it looks."""
+"""Steps about turns that a front end does not find where it looks."""
 
 import asyncio
 import itertools
@@ -20,8 +20,8 @@
     return KeptTurn(f"t{number}", previous, b"text", expires, chain)
 
 
-def conversation_at(known, names):
-    """Returns a conversation that only some members are to keep."""
+def chain_kept_by(known, names):
+    """Returns a chain key that only the named members are to keep."""
     return next(
         chain
         for chain in map("c{}".format, itertools.count())
@@ -29,7 +29,7 @@
     )
 
 
-@when('a storage instance joins each domain, and "{name}" does not hear of it')
+@when('a storage instance joins each domain, and "{name}" does not learn of it')
 def step_join_unheard(context, name):
     async def join(n):
         for number in range(3):
@@ -44,12 +44,12 @@
     network(context, join)
 
 
-@when("a conversation is kept by those that have joined")
+@when("a conversation is kept by the new instances")
 def step_keep_at_joined(context):
     async def keep(n):
         joined = [name for name in n.names if name.startswith("new")]
         front = n.front("new0")
-        context.chain = conversation_at(n.members["new0"], joined)
+        context.chain = chain_kept_by(n.members["new0"], joined)
         for number in range(3):
             kept_by = await front.turns.keep(turn(number, context.chain))
             assert kept_by.is_replicated
@@ -57,22 +57,22 @@
     network(context, keep)
 
 
-@when("the store of these storage instances is away")
+@when("the store of these storage instances is unreachable")
 def step_store_away(context):
     context.network.kv.away = True
 
 
-@when("the store forgets its history")
+@when("the store loses its history")
 def step_forget(context):
     context.network.kv.forget_changes()
 
 
 def long_ago():
-    """Returns when storage instances last wrote down who there is."""
+    """Returns the time at which storage instances last stored the roster."""
     return wall_seconds() - 1000.0
 
 
-@when('"{name}" is cut off until its registration lapses')
+@when('"{name}" is partitioned until its registration expires')
 def step_cut_and_lapse(context, name):
     async def cut(n):
         others = set(n.keepers) - {name}
@@ -86,7 +86,7 @@
     network(context, cut)
 
 
-@when('"{names}" are started again on what their disks and the store tell')
+@when('"{names}" are restarted with what their disks and the store hold')
 def step_restart_all(context, names):
     async def restart(n):
         for name in names.split(", "):
@@ -98,20 +98,20 @@
     network(context, restart)
 
 
-def say(context, name, **state):
-    """Lets the store list an instance with a new state, and all hear of it."""
+def list_with_state(context, name, **state):
+    """Lists an instance with a new state, which all others learn."""
     n = context.network
     member = msgspec.structs.replace(n.member(name), **state)
     n.list_as(member)
 
 
-@when('"{name}" begins to be emptied')
+@when('"{name}" begins to be decommissioned')
 def step_begin_emptying(context, name):
-    say(context, name, leaving=True)
+    list_with_state(context, name, leaving=True)
 
 
-async def empty(n, name):
-    """Empties an instance as operators' orders do, up to its last word."""
+async def decommission(n, name):
+    """Decommissions an instance as an order does, up to the confirmation."""
     emptying = Emptying(
         n.keepers[name],
         n.members[name],
@@ -123,34 +123,34 @@
     await emptying.hand_over_all()
 
 
-@when('"{name}" is emptied')
+@when('"{name}" is decommissioned')
 def step_empty(context, name):
-    say(context, name, leaving=True)
-    network(context, lambda n: empty(n, name))
+    list_with_state(context, name, leaving=True)
+    network(context, lambda n: decommission(n, name))
 
 
-@when('"{name}" is emptied and gone')
+@when('"{name}" is decommissioned and removed')
 def step_empty_and_go(context, name):
     step_empty(context, name)
-    say(context, name, leaving=True, emptied=True)
+    list_with_state(context, name, leaving=True, emptied=True)
     network(context, lambda n: n.kill(name))
     context.network.lapse(name)
 
 
 def new_front(n, name):
-    """Returns a front that has just read the list of the store."""
+    """Returns a front end that has just read the list of the store."""
     front = n.front(name)
     front.reach.members.watch.revision = n.kv.revision
     return front
 
 
 def lagging_front(n, name):
-    """Returns a front that knows what a storage instance knows."""
+    """Returns a front end with the member list of a storage instance."""
     return n.front(name)
 
 
-def experienced_front(n, name):
-    """Returns a front that has heard all that a storage instance has."""
+def front_with_history(n, name):
+    """Returns a front end that also knows which members were removed."""
     front = n.front(name)
     theirs = n.members[name]
     front.reach.members.lost_at = dict(theirs.lost_at)
@@ -158,9 +158,11 @@
     return front
 
 
-def find(context, make, name, wanted, chain="p"):
-    """Returns what a front finds."""
-    return network(context, lambda n: make(n, name).turns.find(wanted, chain))
+def look_up(context, make_front, name, wanted, chain="p"):
+    """Returns the result of a lookup by a front end."""
+    return network(
+        context, lambda n: make_front(n, name).turns.find(wanted, chain)
+    )
 
 
 def check_conversation(found):
@@ -168,14 +170,16 @@
     assert [kept.turn for kept in found] == ["t2", "t1", "t0"], found
 
 
-@then('a front that knows what "{name}" knows finds the conversation')
+@then('a front end with the member list of "{name}" finds the conversation')
 def step_finds_all(context, name):
-    check_conversation(find(context, lagging_front, name, "t2", context.chain))
+    check_conversation(
+        look_up(context, lagging_front, name, "t2", context.chain)
+    )
 
 
 @then(
-    'a front that knows what "{name}" knows and has the newest turn finds it'
-    " all"
+    'a front end with the member list of "{name}" and the newest turn finds the'
+    " whole conversation"
 )
 def step_finds_rest(context, name):
     def having_newest(n, name):
@@ -183,26 +187,32 @@
         front.turns.cache.add(turn(2, context.chain))
         return front
 
-    check_conversation(find(context, having_newest, name, "t2", context.chain))
+    check_conversation(
+        look_up(context, having_newest, name, "t2", context.chain)
+    )
 
 
 @then(
-    'a front that knows what "{name}" knows is not certain of the conversation'
+    'a front end with the member list of "{name}" is uncertain about the'
+    " conversation"
 )
 def step_not_certain(context, name):
-    found = find(context, lagging_front, name, "t2", context.chain)
+    found = look_up(context, lagging_front, name, "t2", context.chain)
     assert isinstance(found, Unsure), found
 
 
-@then('a new front beside "{name}" is not certain of the turn "{wanted}"')
+@then('a new front end near "{name}" is uncertain about the turn "{wanted}"')
 def step_new_not_certain(context, name, wanted):
-    found = find(context, new_front, name, wanted)
+    found = look_up(context, new_front, name, wanted)
     assert isinstance(found, Unsure), found
 
 
-@then('a new front beside "{name}" denies the turn "{wanted}"')
+@then(
+    'a new front end near "{name}" reports that the turn "{wanted}" does not'
+    " exist"
+)
 def step_new_denies(context, name, wanted):
-    found = find(context, new_front, name, wanted)
+    found = look_up(context, new_front, name, wanted)
     assert isinstance(found, NoSuchTurn), found
 
 
@@ -223,12 +233,12 @@
     assert all(isinstance(a, NoSuchTurn) for a in context.answers)
 
 
-@then("the store was asked at most {count:d} times")
+@then("the store was read at most {count:d} times")
 def step_asked(context, count):
     assert 1 <= context.calls <= count, context.calls
 
 
-@when("the store's answers take a while")
+@when("the store is slow to reply")
 def step_slow_answers(context):
     kv = context.network.kv
     read_list = kv.list
@@ -247,10 +257,10 @@
         await asyncio.sleep(0)
         if n.kv.calls > calls:
             return
-    raise AssertionError("the store was not asked")
+    raise AssertionError("the store was not called")
 
 
-@when("one caller's look-up has asked the store")
+@when("the lookup of one caller is reading the store")
 def step_ask_first(context):
     async def ask(n):
         context.front = n.front("s0")
@@ -262,7 +272,7 @@
     network(context, ask)
 
 
-@then("the same front finds the conversation")
+@then("the same front end finds the conversation")
 def step_same_front_finds(context):
     async def find_both(n):
         look = context.front.turns.find("t2", context.chain)
@@ -273,27 +283,30 @@
 
 
 @then(
-    'a front that has heard so beside "{name}" is not certain of the turn'
+    'a front end with the history of "{name}" is uncertain about the turn'
     ' "{wanted}"'
 )
 def step_experienced_not_certain(context, name, wanted):
-    found = find(context, experienced_front, name, wanted)
+    found = look_up(context, front_with_history, name, wanted)
     assert isinstance(found, Unsure), found
 
 
-@then('a front that has heard so beside "{name}" finds the turn "{wanted}"')
+@then('a front end with the history of "{name}" finds the turn "{wanted}"')
 def step_experienced_finds(context, name, wanted):
-    found = find(context, experienced_front, name, wanted)
+    found = look_up(context, front_with_history, name, wanted)
     assert [kept.turn for kept in found] == [wanted], found
 
 
-@then('a front that has heard so beside "{name}" denies the turn "{wanted}"')
+@then(
+    'a front end with the history of "{name}" reports that the turn "{wanted}"'
+    " does not exist"
+)
 def step_experienced_denies(context, name, wanted):
-    found = find(context, experienced_front, name, wanted)
+    found = look_up(context, front_with_history, name, wanted)
     assert isinstance(found, NoSuchTurn), found
 
 
-@then('a front that has not heard so keeps a turn at "{names}" alone')
+@then('a front end that does not know this keeps a turn at "{names}" only')
 def step_keeps_elsewhere(context, names):
     async def keep(n):
         front = n.front("b")
@@ -306,7 +319,7 @@
     assert sorted(kept_by.keepers) == names.split(", "), kept_by
 
 
-@then('"{name}" records no permission any more')
+@then('"{name}" records no more reservations')
 def step_records_none(context, name):
     ask = Reserve("p", "attempt", 10, 100)
     reply = network(context, lambda n: n.keepers[name].serve(ask))
--- a/tests/features/steps/review.py
+++ b/tests/features/steps/review.py
@@ -1,4 +1,4 @@
-"""Steps that try to break how accounts are opened and lists are read."""
+"""Steps about concurrent opening of accounts and reading of member lists."""
 
 import asyncio
 import itertools
@@ -14,7 +14,7 @@
 from rattanmill_keeper.members import PREFIX
 from support.keepers import run_in as network
 from support.memory import MemoryKv
-from support.opening import OPERATIONS, play
+from support.opening import OPERATIONS, run_operations
 from support.virtual import run_virtually
 
 _NAMES = "abcdefghijkl"
@@ -30,8 +30,8 @@
 
 
 @then(
-    "in {count:d} stories of {instances:d} storage instances, {disks:d} of"
-    " whose disks may be lost, one set of holders grants and all find it"
+    "in {count:d} runs of {instances:d} storage instances, {disks:d} of whose"
+    " disks may be lost, one set of holders grants and all front ends find it"
 )
 def step_stories(context, count, instances, disks):
     names = list(_NAMES[:instances])
@@ -39,8 +39,8 @@
     @hypothesis.given(OPERATIONS, _SEEDS)
     @_settings(count)
     def hold(operations, seed):
-        story = play(names, operations, seed, disks)
-        granted, found = run_virtually(story)
+        run = run_operations(names, operations, seed, disks)
+        granted, found = run_virtually(run)
         assert len(granted) <= 1, granted
         assert len(found) == 1 and () not in found, (granted, found)
         assert found >= set(granted), (granted, found)
@@ -48,8 +48,8 @@
     hold()
 
 
-def _go_on_without_store(n):
-    """Lets openers take the others' word for the store's."""
+def _skip_store(n):
+    """Makes opening instances skip the decision of the store."""
 
     async def decide(keeper, home, contested):
         keeper.ledger.add_home(home)
@@ -61,19 +61,19 @@
 
 
 @then(
-    "in stories of {instances:d} storage instances that go on without the"
-    " store's word, two sets of holders grant"
+    "in a run of {instances:d} storage instances that do not wait for the"
+    " store's decision, two sets of holders grant"
 )
 def step_noticed(context, instances):
     names = list(_NAMES[:instances])
     operations = [("cut", (1, 2)), ("race", (0, 2, 2)), ("wait", 0.6)]
     granted, _ = run_virtually(
-        play(names, operations, 1, prepare=_go_on_without_store)
+        run_operations(names, operations, 1, prepare=_skip_store)
     )
     assert len(granted) == 2, granted
 
 
-@when('"{names}" have not heard of "{others}"')
+@when('"{names}" do not know of "{others}"')
 def step_not_heard(context, names, others):
     for name, other in itertools.product(names.split(", "), others.split(", ")):
         members = context.network.members[name]
@@ -81,15 +81,15 @@
         members.seen.pop(other, None)
 
 
-@when('"{names}" are cut off from "{others}"')
+@when('"{names}" are partitioned from "{others}"')
 def step_apart(context, names, others):
     pairs = itertools.product(names.split(", "), others.split(", "))
     context.network.cuts |= {frozenset(pair) for pair in pairs}
 
 
 @when(
-    '{count:d} turns of a new program run at "{name}", which is killed and not'
-    " listed any more"
+    '{count:d} turns of a new program run at "{name}", which is killed and no'
+    " longer listed"
 )
 def step_gone(context, count, name):
     context.execute_steps(
@@ -104,7 +104,7 @@
     network(context, lapse)
 
 
-@when('"{name}" is killed and starts again')
+@when('"{name}" crashes and restarts')
 def step_restart(context, name):
     async def restart(n):
         await n.kill(name)
@@ -113,7 +113,7 @@
     network(context, restart)
 
 
-@when('"{name}" was emptied and is gone, and "{other}" starts again')
+@when('"{name}" was decommissioned and removed, and "{other}" restarts')
 def step_emptied_and_gone(context, name, other):
     async def go(n):
         member = n.member(name)
@@ -131,17 +131,17 @@
     network(context, go)
 
 
-@then('"{name}" does not count "{gone}"')
-def step_not_counted(context, name, gone):
-    async def counted(n):
+@then('"{name}" does not include "{removed}" in its roster')
+def step_not_counted(context, name, removed):
+    async def roster_and_unlisted(n):
         return n.members[name].roster(), n.members[name].unlisted()
 
-    found = network(context, counted)
-    assert all(gone not in names for names in found), found
+    found = network(context, roster_and_unlisted)
+    assert all(removed not in names for names in found), found
 
 
 class WatchedKv(MemoryKv):
-    """Lets watches wait, and counts how often keys are listed."""
+    """Store whose watches wait, and which counts how often keys are listed."""
 
     asked = 0
 
@@ -163,7 +163,7 @@
 
 
 class SlowListKv(MemoryKv):
-    """Takes its time to list keys."""
+    """Store that is slow to list keys."""
 
     async def list(self, prefix):
         """Reads all keys under a prefix."""
@@ -171,7 +171,7 @@
         return await super().list(prefix)
 
 
-async def _give_up_second():
+async def _cancel_reader():
     members = Members(SlowListKv())
     first, second, third = (
         asyncio.create_task(members.catch_up()) for _ in range(3)
@@ -183,19 +183,19 @@
 
 
 @when(
-    "three look-ups wait for a reading of the list and the one that reads is"
-    " given up"
+    "three lookups wait for a read of the member list and the one that reads is"
+    " cancelled"
 )
 def step_three(context):
-    context.told = run_virtually(_give_up_second())
+    context.told = run_virtually(_cancel_reader())
 
 
-@then("the others know that the store has told")
+@then("the others learn that the store has replied")
 def step_told(context):
     assert context.told
 
 
-async def _tell_later():
+async def _read_list_later():
     kv = WatchedKv()
     async with Members(kv) as early:
         await asyncio.sleep(_PAUSE_SECONDS)
@@ -213,19 +213,19 @@
 
 
 @when(
-    '"b" hears of a change by its watch, other keys are written, and "a" reads'
+    '"b" receives a change by its watch, other keys are written, and "a" reads'
     " the list"
 )
 def step_dated_later(context):
-    context.asked = run_virtually(_tell_later())
+    context.asked = run_virtually(_read_list_later())
 
 
-@then('the answer of "a" does not make "b" read the list')
+@then('the reply of "a" does not make "b" read the list')
 def step_not_asked(context):
     assert not context.asked, context.asked
 
 
-@then("no domain was silent for as long as makes it suspect")
+@then("no domain was silent for long enough to be suspected")
 def step_not_suspect(context):
     longest = [max(silences.values()) for _, silences in context.found]
     late = [each for each in longest if each > domains._STORAGE_SECONDS]
--- a/tests/features/views.feature
+++ b/tests/features/views.feature
@@ -37,7 +37,7 @@
     And "b" is not whole
     When all reach each other and are listed
     And "b" has followed those that are listed
-    Then "b" is whole
+    Then "b" has recovered
     And the program's turns at "a, b, c" stay within its budget and one turn
 
   Scenario: An account of which one that is listed has not heard
@@ -71,13 +71,13 @@
     Given storage instances "a, b, c"
     When a turn of a new program runs at "a"
     And 2 further turns run at "b" while "a" is killed
-    And "c" is replaced by "d" of its domain, which is still listed
-    And the registration of "c" has lapsed for long
+    And "c" is replaced by "d" of its domain while still listed
+    And the registration of "c" expired long ago
     And "a" has followed those that are listed
     And "d" has followed those that are listed
     And "b" loses its disk and starts where "c" is not listed
     And "b" has followed those that are listed
-    Then "b" is whole
+    Then "b" has recovered
     And the program's turns at "a, b" stay within its budget and one turn
 
   Scenario: One whose registration had lapsed is listed again
@@ -97,7 +97,7 @@
     Given storage instances "a, b, c"
     When "c" is cut off from "a, b", and its registration has lapsed for long
     And turns of a new program use up its budget at "a"
-    And "c" is killed and started again
+    And "c" is killed and restarted
     And "c" is listed again while it is cut off
     Then the program's turns at "c" stay within its budget and one turn
 
--- a/tests/support/opening.py
+++ b/tests/support/opening.py
@@ -1,7 +1,7 @@
-"""Made-up sequences of openers of one account, and whose word counts.
+"""Generated sequences in which several instances open one account.
 
-Messages and the store's answers are late or get lost, disks take their time,
-storage instances are killed at any step and come back with their disk.
+Messages and replies of the store are late or lost, disks are slow, and storage
+instances are killed at any step and restart with their disk.
 """
 
 import asyncio
@@ -22,12 +22,12 @@
 from support.keepers import AwayKv, LocalLink, LocalMembers, Network
 
 _CODEC = codec()
-# More than all that ask in a story.
+# More than all turns of a sequence reserve together.
 _BUDGET = 18_000
 _TOKENS = 36
-_ROUNDS = 6
+_SETTLE_ROUNDS = 6
 _NEVER_SECONDS = 60.0
-# Beyond each time-out and each write that the store makes late.
+# Longer than any timeout and any late write of the store.
 _CALM_SECONDS = 6.0
 _number = st.integers(0, 11)
 OPERATIONS = st.lists(
@@ -46,7 +46,7 @@
         st.tuples(st.just("heal"), _number),
         st.tuples(st.just("wipe"), _number),
         st.tuples(st.just("follow"), _number),
-        st.tuples(st.just("trouble"), st.sampled_from([0.0, 0.2, 0.5])),
+        st.tuples(st.just("set_fault_rate"), st.sampled_from([0.0, 0.2, 0.5])),
     ),
     min_size=4,
     max_size=24,
@@ -54,61 +54,65 @@
 
 
 class LateKv(AwayKv):
-    """A store whose answers are late or lost, and which may write late."""
+    """A store whose replies are late or lost, and which may write late."""
 
-    def __init__(self, dice: random.Random) -> None:
+    def __init__(self, rng: random.Random) -> None:
         super().__init__()
-        self.dice = dice
-        self.trouble = 0.0
+        self.rng = rng
+        self.fault_rate = 0.0
         self.tasks: set[asyncio.Task] = set()
 
     async def read(self, key: str):  # noqa: ANN201
-        """Reads one key, perhaps without an answer."""
-        return await self._troubled(key, lambda: AwayKv.read(self, key))
+        """Reads one key, possibly without a reply."""
+        return await self._with_faults(key, lambda: AwayKv.read(self, key))
 
     async def write(  # noqa: ANN201
         self, key: str, value: bytes, expect: int, lease: str = ""
     ):
-        """Writes if the condition holds when it is done, perhaps late."""
-        return await self._troubled(
+        """Writes, possibly late, if the condition holds at that time."""
+        return await self._with_faults(
             key, lambda: AwayKv.write(self, key, value, expect, lease)
         )
 
-    async def _troubled(self, key: str, call: Callable[[], Coroutine]) -> Any:
+    async def _with_faults(
+        self, key: str, call: Callable[[], Coroutine]
+    ) -> Any:
         if not key.startswith(HOME_PREFIX):
             return await call()
         kind = "in time"
-        if self.dice.random() < self.trouble:
-            kind = self.dice.choice(["refused", "never", "late", "unanswered"])
+        if self.rng.random() < self.fault_rate:
+            kind = self.rng.choice(["refused", "never", "late", "unanswered"])
         if kind == "refused":
             return Unavailable("refused")
         if kind == "never":
             return await asyncio.sleep(_NEVER_SECONDS, Unavailable("cut"))
-        most = {"in time": 0.1, "unanswered": 0.1, "late": 3.0}[kind]
-        work = asyncio.create_task(self._later(most, call))
+        max_delay = {"in time": 0.1, "unanswered": 0.1, "late": 3.0}[kind]
+        work = asyncio.create_task(self._later(max_delay, call))
         self.tasks.add(work)
         said = await asyncio.shield(work)
         if kind == "unanswered":
             return await asyncio.sleep(_NEVER_SECONDS, Unavailable("cut"))
-        await asyncio.sleep(self.dice.uniform(0.0, 0.1))
+        await asyncio.sleep(self.rng.uniform(0.0, 0.1))
         return said
 
-    async def _later(self, most: float, call: Callable[[], Coroutine]) -> Any:
-        await asyncio.sleep(self.dice.uniform(0.0, most))
+    async def _later(
+        self, max_delay: float, call: Callable[[], Coroutine]
+    ) -> Any:
+        await asyncio.sleep(self.rng.uniform(0.0, max_delay))
         return await call()
 
 
 class SlowDisk(concurrent.futures.Executor):
-    """Does what it is given some milliseconds later, unless it is shut down."""
+    """Runs work some milliseconds later, unless it is shut down by then."""
 
-    def __init__(self, dice: random.Random) -> None:
-        self.dice = dice
+    def __init__(self, rng: random.Random) -> None:
+        self.rng = rng
         self.is_down = False
 
     def submit(
         self, work: Callable, /, *args: object
     ) -> concurrent.futures.Future:
-        """Notes a function for later."""
+        """Schedules a function."""
         future = concurrent.futures.Future()
 
         def do() -> None:
@@ -116,21 +120,24 @@
                 future.set_result(work(*args))
 
         loop = asyncio.get_running_loop()
-        loop.call_later(self.dice.choice([0.001, 0.004, 0.06]), do)
+        loop.call_later(self.rng.choice([0.001, 0.004, 0.06]), do)
         return future
 
     def shutdown(self, wait: bool = True, **how: Any) -> None:
-        """Does nothing more."""
+        """Drops all scheduled work."""
         self.is_down = True
 
 
 class LossyLink(LocalLink):
-    """Loses questions and replies; a question goes on without its asker."""
+    """Loses requests and replies.
+
+    A request goes on if its sender times out or is cancelled.
+    """
 
     async def ask(
         self, message: msgspec.Struct, seconds: float
     ) -> msgspec.Struct | None:
-        """Returns the reply; None if there was none in time."""
+        """Returns the reply, or None on a timeout."""
         work = self.network.spawn(self.name, self._ask(message))
         try:
             async with asyncio.timeout(seconds):
@@ -173,21 +180,21 @@
 
     def __init__(self, folder: str, names: list[str], seed: int) -> None:
         super().__init__(folder, names)
-        self.dice = random.Random(seed)
-        self.kv = LateKv(self.dice)
-        self.trouble = 0.0
+        self.rng = random.Random(seed)
+        self.kv = LateKv(self.rng)
+        self.fault_rate = 0.0
         self.work: dict[str, set[asyncio.Task]] = {}
         self.lost_disks = 1
 
     async def carry(self, asker: str, name: str) -> bool:
-        """Whether a message comes through, after its time on the way."""
-        longest = self.dice.choice([0.002, 0.002, 0.02, 0.12])
-        await asyncio.sleep(self.dice.uniform(0.0, longest))
-        is_lost = self.dice.random() < self.trouble / 2
+        """Returns whether a message arrives, after its transmission time."""
+        longest = self.rng.choice([0.002, 0.002, 0.02, 0.12])
+        await asyncio.sleep(self.rng.uniform(0.0, longest))
+        is_lost = self.rng.random() < self.fault_rate / 2
         return not is_lost and not self.is_cut(asker, name)
 
     def spawn(self, name: str, work: Coroutine) -> asyncio.Task:
-        """Starts what ends when an instance is killed."""
+        """Starts a task that ends when an instance is killed."""
         task = asyncio.create_task(work)
         self.work.setdefault(name, set()).add(task)
         return task
@@ -199,21 +206,24 @@
         return members
 
     def new_disk(self) -> concurrent.futures.Executor:
-        """Returns a disk that takes its time."""
-        return SlowDisk(self.dice)
+        """Returns a slow disk."""
+        return SlowDisk(self.rng)
 
     async def kill(self, name: str) -> None:
-        """Ends one, with all that it was doing."""
+        """Kills one instance along with its tasks."""
         for task in self.work.pop(name, set()):
             task.cancel()
         await super().kill(name)
 
 
-class Openers:
-    """Openers of one account, and who granted tokens of it.
+class OpeningRunner:
+    """Runs operations in which instances open one account.
 
     Attributes:
-        granted: Holders of which a majority has recorded a permission.
+        granted: Number of granted reservations by the holders that recorded
+            them.
+        attempts: Number of reservations that were tried.
+        has_lost: Whether a disk has been lost.
     """
 
     def __init__(self, network: OpeningNetwork) -> None:
@@ -223,38 +233,42 @@
         self.has_lost = False
 
     def name(self, number: int) -> str:
-        """Returns one of the names."""
+        """Returns the name of an instance."""
         return self.network.names[number % len(self.network.names)]
 
-    async def play(self, operations: list[tuple]) -> None:
-        """Plays operations."""
+    async def run(self, operations: list[tuple]) -> None:
+        """Runs operations in order."""
         for kind, argument in operations:
             await getattr(self, kind)(argument)
 
     async def open(self, number: int) -> None:
-        """One is asked to open the account, while other things go on."""
+        """Starts opening the account at one instance."""
         name = self.name(number)
         if name in self.network.keepers:
             self.network.spawn(name, self.open_at(name))
 
     async def race(self, numbers: tuple[int, ...]) -> None:
-        """Several are asked at the same moment."""
+        """Starts opening the account at several instances at once."""
         for number in numbers:
             await self.open(number)
 
     async def open_at(self, name: str) -> tuple[str, ...]:
-        """Opens at one and asks the holders for tokens; returns them."""
+        """Opens the account at one instance and reserves at its holders.
+
+        Returns:
+            The holders.
+        """
         keeper = self.network.keepers[name]
         said = await keeper.serve(Open("p", _BUDGET, _TOKENS))
         if isinstance(said, Opened):
-            # The front goes on whatever becomes of the opener.
+            # The front end continues even if the opening instance is killed.
             asking = asyncio.create_task(self.reserve(name, said.place))
             self.network.spawn("fronts", asyncio.wait_for(asking, 5.0))
             return said.place.holders
         return said.holders if isinstance(said, Elsewhere) else ()
 
     async def reserve(self, name: str, place: Any) -> None:
-        """Asks all holders for tokens, as a front beside one does."""
+        """Reserves at all holders, as a front end near one instance does."""
         self.attempts += 1
         ask = Reserve("p", f"t{self.attempts}", _TOKENS, _BUDGET, place)
         replies = await asyncio.gather(
@@ -268,29 +282,29 @@
             self.granted[place.holders] = self.granted.get(place.holders, 0) + 1
 
     async def wait(self, seconds: float) -> None:
-        """Time passes; whoever was silent may be asked again."""
+        """Lets time pass, then has unresponsive instances asked again."""
         await asyncio.sleep(seconds)
         self.network.failures.clear()
 
     async def kill(self, number: int) -> None:
-        """One is killed."""
+        """Kills one instance."""
         name = self.name(number)
         if name in self.network.keepers:
             await self.network.kill(name)
 
     async def start(self, number: int) -> None:
-        """One that was killed comes back with its disk."""
+        """Starts an instance that was killed, with its disk."""
         name = self.name(number)
         if name not in self.network.keepers:
             await self.network.start(name)
 
     async def restart(self, number: int) -> None:
-        """One is killed and comes back."""
+        """Restarts one instance."""
         await self.kill(number)
         await self.start(number)
 
     async def cut(self, numbers: tuple[int, int]) -> None:
-        """Two groups do not reach each other."""
+        """Partitions the instances into two groups."""
         names = self.network.names
         low, high = sorted(n % len(names) for n in numbers)
         inside = set(names[low : high + 1])
@@ -301,12 +315,12 @@
         }
 
     async def heal(self, number: int) -> None:
-        """All reach each other again."""
+        """Ends all partitions."""
         self.network.cuts.clear()
         self.network.failures.clear()
 
     async def wipe(self, number: int) -> None:
-        """One loses its disk, the only one that does."""
+        """Restarts one instance with an empty disk, at most once."""
         name = self.name(number)
         if self.has_lost or name not in self.network.keepers:
             return
@@ -315,26 +329,28 @@
         await self.network.start(name)
 
     async def follow(self, number: int) -> None:
-        """One takes in what the others have."""
+        """Lets one instance follow the others."""
         name = self.name(number)
         if name in self.network.keepers:
             work = self.network.spawn(name, self.network.follow(name))
             await asyncio.wait([work])
 
-    async def trouble(self, share: float) -> None:
-        """The store and the network lose more or less."""
-        self.network.trouble = self.network.kv.trouble = share
+    async def set_fault_rate(self, rate: float) -> None:
+        """Sets the rate of lost messages and of faults of the store."""
+        self.network.fault_rate = self.network.kv.fault_rate = rate
 
     async def end(self) -> set[tuple[str, ...]]:
-        """All are well again; returns where new fronts get permissions.
+        """Ends all faults and reserves through new front ends.
 
-        A front that gets none counts as one with no holders.
+        Returns:
+            The holders that granted the reservations; an empty tuple stands
+            for a front end whose reservation was not granted.
         """
         network = self.network
-        await self.trouble(0.0)
+        await self.set_fault_rate(0.0)
         for number in range(len(network.names)):
             await self.start(number)
-        for _ in range(_ROUNDS):
+        for _ in range(_SETTLE_ROUNDS):
             await asyncio.sleep(_CALM_SECONDS)
             await self.heal(0)
             for number in range(len(network.names)):
@@ -349,27 +365,28 @@
         return found
 
 
-async def play(
+async def run_operations(
     names: list[str],
     operations: list[tuple],
     seed: int,
     lost_disks: int = 1,
     prepare: Callable[[Network], None] = lambda network: None,
 ) -> tuple[dict[tuple[str, ...], int], set[tuple[str, ...]]]:
-    """Plays openers on new storage instances.
+    """Runs operations on new storage instances.
 
     Returns:
-        Who granted tokens, and the holders that new fronts find in the end.
+        Granted reservations by holders, and the holders that new front ends
+        find in the end.
     """
     folder = tempfile.mkdtemp()
     network = OpeningNetwork(folder, list(names), seed)
     network.lost_disks = lost_disks
     await network.start_all()
     prepare(network)
-    openers = Openers(network)
+    runner = OpeningRunner(network)
     try:
-        await openers.play(operations)
-        return openers.granted, await openers.end()
+        await runner.run(operations)
+        return runner.granted, await runner.end()
     finally:
         for tasks in network.work.values():
             for task in tasks:
--- a/tests/support/stories.py
+++ b/tests/support/stories.py
@@ -1,4 +1,4 @@
-"""Made-up sequences of failures, and what a program gets in them."""
+"""Generated sequences of faults, and the tokens that programs get."""
 
 import asyncio
 import shutil
@@ -11,11 +11,12 @@
 from support.keepers import Network
 
 NAMES = ["a", "b", "c"]
-# What one instance may grant alone holds one turn, and two that have ended.
+# The share of one instance has room for one running turn, or for two settled
+# ones.
 BUDGET = 180
 TOKENS = 40
-# Callers allow a program its budget and the most of one turn.
-MOST = BUDGET + TOKENS
+# Callers allow a program its budget and the maximum of one turn.
+MAX_TOKENS = BUDGET + TOKENS
 _STEP_SECONDS = 0.02
 _name = st.sampled_from(NAMES)
 OPERATIONS = st.lists(
@@ -43,12 +44,13 @@
 )
 
 
-class Story:
-    """A sequence of events, and what programs have got in it.
+class OperationRunner:
+    """Runs a sequence of operations and counts the tokens of programs.
 
     Attributes:
-        used: Tokens that each program may have used: of permissions that were
-            given, the most, or what was booked in the end.
+        granted: Program and attempt of each reservation not yet settled.
+        used: Tokens that each program may have used: the maximum of granted
+            reservations, or the settled use once they have ended.
     """
 
     def __init__(self, network: Network) -> None:
@@ -57,14 +59,14 @@
         self.used: dict[str, int] = {}
         self.attempts = 0
 
-    async def play(self, operations: list[tuple]) -> None:
-        """Plays operations, some milliseconds apart."""
+    async def run(self, operations: list[tuple]) -> None:
+        """Runs operations, some milliseconds apart."""
         for kind, argument in operations:
             await getattr(self, kind)(argument)
             await self.network.pass_time(_STEP_SECONDS)
 
     async def ask(self, name: str, program: str = "p") -> None:
-        """A turn asks through a front beside a storage instance."""
+        """Reserves for a turn through a front end near a storage instance."""
         if name not in self.network.members:
             return
         self.attempts += 1
@@ -77,12 +79,12 @@
             self.granted.append((program, attempt))
 
     async def race(self, name: str) -> None:
-        """Turns of one program ask at two at the same moment."""
+        """Reserves for turns of one program at two instances at once."""
         other = NAMES[NAMES.index(name) - 1]
         await asyncio.gather(self.ask(name), self.ask(other))
 
     async def settle(self, number: int) -> None:
-        """A turn has used half of what it might have."""
+        """Settles a turn with half of its reserved tokens."""
         if number >= len(self.granted):
             return
         program, attempt = self.granted.pop(number)
@@ -90,35 +92,38 @@
         self.used[program] -= TOKENS // 2
 
     async def isolate(self, name: str) -> None:
-        """One is cut off from the others."""
+        """Partitions one instance from the others."""
         self.network.cuts |= {
             frozenset((name, other)) for other in (*NAMES, "d") if other != name
         }
 
     async def heal(self, name: str) -> None:
-        """All reach each other again."""
+        """Ends all partitions and registers all instances again."""
         self.network.cuts.clear()
         for each in NAMES:
             self.network.list_again(each)
 
     async def kill(self, name: str) -> None:
-        """One is killed."""
+        """Kills one instance."""
         if name in self.network.keepers:
             await self.network.kill(name)
 
     async def start(self, name: str) -> None:
-        """One that was killed comes back."""
+        """Starts an instance that was killed."""
         if name not in self.network.keepers and name in self.network.names:
             await self.network.start(name)
 
     async def restart(self, name: str) -> None:
-        """One is killed and comes back; its neighbour as well."""
+        """Restarts one instance and its neighbor."""
         for each in (name, NAMES[NAMES.index(name) - 1]):
             await self.kill(each)
             await self.start(each)
 
     async def wipe(self, name: str) -> None:
-        """One loses its disk; as many as may be lost at once."""
+        """Restarts one instance with an empty disk.
+
+        Only if no other disk is lost at that time.
+        """
         keepers = self.network.keepers
         all_run = len(keepers) == len(self.network.names)
         all_whole = all(k.whole for k in keepers.values())
@@ -127,7 +132,7 @@
             await self.network.start(name)
 
     async def replace(self, name: str) -> None:
-        """One is gone for good, and an empty one comes under a new name."""
+        """Replaces one instance by an empty one under a new name."""
         network = self.network
         if len(network.names) > len(NAMES) or name not in network.keepers:
             return
@@ -138,13 +143,13 @@
         await network.wipe(name)
         network.names = [n for n in network.names if n != name] + ["d"]
         await network.start("d")
-        # The others learn of it from the store, or when it follows them.
+        # The others learn of it from the store, or once it follows them.
         for other, members in network.members.items():
             if other in network.keepers and not network.is_cut(other, name):
                 network.introduce(members, "d")
 
     async def lapse(self, name: str) -> None:
-        """One that is cut off, or gone for good, is not listed any more."""
+        """Expires the registration of an instance that is cut off or gone."""
         network = self.network
         is_gone = name not in network.names
         others = [n for n in network.members if n != name]
@@ -152,33 +157,37 @@
             network.lapse(name)
 
     async def follow(self, name: str) -> None:
-        """One takes in what the others have."""
+        """Lets one instance follow the others."""
         for each in (name, "d"):
             if each in self.network.keepers:
                 await self.network.follow(each)
 
     async def store(self, away: bool) -> None:
-        """The store goes away or comes back."""
+        """Makes the store unreachable or reachable."""
         self.network.kv.away = away
 
     async def lose(self, count: int) -> None:
-        """The next replies between storage instances get lost."""
+        """Drops the next replies between storage instances."""
         self.network.lose_replies = count
 
 
-async def play(
+async def run_operations(
     operations: list[tuple],
     prepare: Callable[[Network], None] = lambda network: None,
 ) -> dict[str, int]:
-    """Plays a story on new storage instances; returns tokens by program."""
+    """Runs operations on new storage instances.
+
+    Returns:
+        Tokens that each program may have used.
+    """
     folder = tempfile.mkdtemp()
     network = Network(folder, list(NAMES))
     await network.start_all()
     prepare(network)
-    story = Story(network)
+    runner = OperationRunner(network)
     try:
-        await story.play(operations)
+        await runner.run(operations)
     finally:
         await network.stop_all()
         shutil.rmtree(folder)
-    return story.used
+    return runner.used
