--- a/libs/keeper/src/rattanmill_keeper/messages.py
+++ b/libs/keeper/src/rattanmill_keeper/messages.py
@@ -132,7 +132,7 @@
 def max_share(budget: int, tokens: int) -> int:
     """Returns the maximum number of tokens that one instance grants alone.
 
-    It lets a program go on in a failure domain that is cut off. Callers
+    It lets a program continue in a failure domain that is cut off. Callers
     tolerate that a program exceeds its budget by one turn. At most three
     instances grant alone, so their shares together stay within that limit even
     if all three are partitioned from each other. A share is one turn of the
--- a/libs/keeper/src/rattanmill_keeper/permits.py
+++ b/libs/keeper/src/rattanmill_keeper/permits.py
@@ -146,19 +146,19 @@
         message = Open(request.program, request.budget, request.tokens)
         queue = self._opener_queue(request.program)
         asked: set[str] = set()
-        asks: set[asyncio.Task] = set()
+        pending: set[asyncio.Task] = set()
         reply = Unsure("no storage instance is known")
         timeout_seconds = _OPEN_TIMEOUT_SECONDS
         while True:
             opener = self._next_opener(queue, asked)
-            if opener is None and not asks:
+            if opener is None and not pending:
                 return reply
             if opener is not None:
                 asked.add(opener.name)
                 work = self.reach.ask(opener, message, timeout_seconds)
-                asks.add(self.reach.spawn(work))
-            done, asks = await asyncio.wait(
-                asks,
+                pending.add(self.reach.spawn(work))
+            done, pending = await asyncio.wait(
+                pending,
                 timeout=_OPEN_HEDGE_SECONDS if queue else None,
                 return_when=asyncio.FIRST_COMPLETED,
             )
@@ -242,7 +242,7 @@
         self, request: Reserve, place: Place
     ) -> list[Recorded | Full]:
         """Returns the replies of holders, once they decide or all are in."""
-        asks = {
+        pending = {
             self.reach.spawn(
                 self.reach.ask(
                     member,
@@ -254,9 +254,9 @@
             for member in self._members(place.holders)
         }
         replies: list[Recorded | Full] = []
-        while asks:
-            done, asks = await asyncio.wait(
-                asks, return_when=asyncio.FIRST_COMPLETED
+        while pending:
+            done, pending = await asyncio.wait(
+                pending, return_when=asyncio.FIRST_COMPLETED
             )
             batch = [task.result() for task in done]
             replies += [r for r in batch if isinstance(r, Recorded | Full)]
--- a/tests/features/steps/keeping.py
+++ b/tests/features/steps/keeping.py
@@ -55,13 +55,13 @@
 
 @then('a new program gets a reservation at "{name}"')
 @then('the same program gets a reservation at "{name}"')
-def step_permitted(context, name):
+def step_reserved(context, name):
     reply = reserve_at(context, name, "new")
     assert isinstance(reply, Reserved), reply
 
 
 @then('a new program gets no reservation at "{name}"')
-def step_not_permitted(context, name):
+def step_not_reserved(context, name):
     reply = reserve_at(context, name, "new")
     assert isinstance(reply, Unsure), reply
 
@@ -144,7 +144,7 @@
     '"{name}" opens an account while "{other}" replies late, and "{second}"'
     " opens it meanwhile"
 )
-def step_open_both(context, name, other, second):
+def step_open_meanwhile(context, name, other, second):
     message = Open("both", LARGE_BUDGET, TOKENS)
 
     async def open_both(net):
@@ -185,12 +185,12 @@
     reserve = Reserve("twice", "turn", TOKENS, BUDGET, place=place)
     messages = [reserve, Settle("twice", "turn", 0)]
 
-    async def hear(n):
+    async def receive(n):
         # As they arrive: messages that need no waiting are handled at once.
         replies = [n.keepers[name].answer(message) for message in messages]
         await asyncio.gather(*filter(asyncio.iscoroutine, replies))
 
-    network(context, hear)
+    network(context, receive)
 
 
 @then('the program has used nothing at "{name}"')
@@ -217,7 +217,7 @@
     'a program has a turn running at "{name}", which is decommissioned and'
     " removed"
 )
-def step_empty(context, name):
+def step_decommission(context, name):
     assert isinstance(reserve_at(context, name, "moved", "one"), Reserved)
 
     async def empty(n):
@@ -309,7 +309,7 @@
 
 
 @then("the reservation is released")
-def step_taken_back(context):
+def step_released(context):
     async def wait(n):
         if context.front.reach.tasks:
             await asyncio.wait(context.front.reach.tasks)
--- a/tests/features/steps/keeping_proof.py
+++ b/tests/features/steps/keeping_proof.py
@@ -129,18 +129,18 @@
 _MUTATIONS = {
     "one holder counts as a majority": Mutation(
         [
-            *[("ask", "a"), ("isolate", "a")],
-            *[("ask", "a")] * 4,
-            *[("ask", "b")] * 4,
+            *[("reserve", "a"), ("isolate", "a")],
+            *[("reserve", "a")] * 4,
+            *[("reserve", "b")] * 4,
         ],
         _need_one_holder,
     ),
     "an instance counts as recovered before it followed the others": Mutation(
         [
             ("isolate", "c"),
-            *[("ask", "a")] * 4,
+            *[("reserve", "a")] * 4,
             *[("heal", "c"), ("wipe", "a"), ("isolate", "b")],
-            *[("ask", "c")] * 4,
+            *[("reserve", "c")] * 4,
         ],
         _skip_recovery,
     ),
@@ -167,14 +167,14 @@
 # The opening instance grants its share and loses its disk. Then no instance
 # knows what it granted.
 _SHARE_LOST = [
-    *[("ask", "a"), ("isolate", "a"), ("ask", "a"), ("ask", "a")],
+    *[("reserve", "a"), ("isolate", "a"), ("reserve", "a"), ("reserve", "a")],
     *[("heal", "a"), ("wipe", "a"), ("follow", "a"), ("isolate", "a")],
-    *[("ask", "a"), ("heal", "a"), ("wipe", "a"), ("follow", "a")],
+    *[("reserve", "a"), ("heal", "a"), ("wipe", "a"), ("follow", "a")],
     *[
         ("isolate", "a"),
-        ("ask", "a"),
-        ("ask", "b"),
-        ("ask", "b"),
+        ("reserve", "a"),
+        ("reserve", "b"),
+        ("reserve", "b"),
         ("heal", "a"),
     ],
 ]
--- a/tests/features/steps/keeping_turns.py
+++ b/tests/features/steps/keeping_turns.py
@@ -67,7 +67,7 @@
 
 
 @given("{count:d} storage instances in {domains:d} failure domains")
-def step_many(context, count, domains):
+def step_instances_in_domains(context, count, domains):
     names = [f"s{number}" for number in range(count)]
     begin(
         context,
@@ -84,7 +84,7 @@
     " their disks at once"
 )
 def step_many_two_lost(context, count):
-    step_many(context, count, 3)
+    step_instances_in_domains(context, count, 3)
     for members in context.network.members.values():
         members.lost_disks = 2
 
@@ -165,7 +165,7 @@
 
 
 @when("{count:d} storage instances of different domains are down")
-def step_away(context, count):
+def step_down(context, count):
     async def kill(n):
         for name in list(n.keepers)[-count:]:
             await n.kill(name)
@@ -231,7 +231,7 @@
 
 
 @then("a journal truncated at any byte yields a prefix of its records")
-def step_cut_anywhere(context):
+def step_truncate_anywhere(context):
     content = b"".join(map(encode_frame, _RECORDS))
     ends = [0]
     for record in _RECORDS:
@@ -258,18 +258,18 @@
     "{count:d} requests to a peer that does not listen time out one after the"
     " other"
 )
-def step_ask_silent(context, count):
-    async def ask_all():
+def step_time_out(context, count):
+    async def send_all():
         link = RequestLink("127.0.0.1:9", codec())
-        asks = [
+        requests = [
             asyncio.create_task(link.ask(Ping(), 0.05 + number / 100))
             for number in range(count)
         ]
-        done = await asyncio.gather(*asks, return_exceptions=True)
+        done = await asyncio.gather(*requests, return_exceptions=True)
         link.close()
         return done
 
-    context.replies = asyncio.run(ask_all())
+    context.replies = asyncio.run(send_all())
 
 
 @then("each request ends without a reply")
--- a/tests/features/steps/lookups.py
+++ b/tests/features/steps/lookups.py
@@ -30,7 +30,7 @@
 
 
 @when('a storage instance joins each domain, and "{name}" does not learn of it')
-def step_join_unheard(context, name):
+def step_join_unknown(context, name):
     async def join(n):
         for number in range(3):
             new = f"new{number}"
@@ -106,7 +106,7 @@
 
 
 @when('"{name}" begins to be decommissioned')
-def step_begin_emptying(context, name):
+def step_begin_decommission(context, name):
     list_with_state(context, name, leaving=True)
 
 
@@ -124,14 +124,14 @@
 
 
 @when('"{name}" is decommissioned')
-def step_empty(context, name):
+def step_decommission(context, name):
     list_with_state(context, name, leaving=True)
     network(context, lambda n: decommission(n, name))
 
 
 @when('"{name}" is decommissioned and removed')
-def step_empty_and_go(context, name):
-    step_empty(context, name)
+def step_decommission_and_remove(context, name):
+    step_decommission(context, name)
     list_with_state(context, name, leaving=True, emptied=True)
     network(context, lambda n: n.kill(name))
     context.network.lapse(name)
@@ -262,21 +262,21 @@
 
 @when("the lookup of one caller is reading the store")
 def step_ask_first(context):
-    async def ask(n):
+    async def request(n):
         context.front = n.front("s0")
-        look = context.front.turns.find("never", "p")
+        lookup = context.front.turns.find("never", "p")
         calls = n.kv.calls
-        context.first = asyncio.create_task(look)
+        context.first = asyncio.create_task(lookup)
         await wait_for_call(n, calls)
 
-    network(context, ask)
+    network(context, request)
 
 
 @then("the same front end finds the conversation")
 def step_same_front_finds(context):
     async def find_both(n):
-        look = context.front.turns.find("t2", context.chain)
-        return await asyncio.gather(look, context.first)
+        lookup = context.front.turns.find("t2", context.chain)
+        return await asyncio.gather(lookup, context.first)
 
     found, _ = network(context, find_both)
     check_conversation(found)
@@ -286,13 +286,13 @@
     'a front end with the history of "{name}" is uncertain about the turn'
     ' "{wanted}"'
 )
-def step_experienced_not_certain(context, name, wanted):
+def step_history_uncertain(context, name, wanted):
     found = look_up(context, front_with_history, name, wanted)
     assert isinstance(found, Unsure), found
 
 
 @then('a front end with the history of "{name}" finds the turn "{wanted}"')
-def step_experienced_finds(context, name, wanted):
+def step_history_finds(context, name, wanted):
     found = look_up(context, front_with_history, name, wanted)
     assert [kept.turn for kept in found] == [wanted], found
 
@@ -301,7 +301,7 @@
     'a front end with the history of "{name}" reports that the turn "{wanted}"'
     " does not exist"
 )
-def step_experienced_denies(context, name, wanted):
+def step_history_denies(context, name, wanted):
     found = look_up(context, front_with_history, name, wanted)
     assert isinstance(found, NoSuchTurn), found
 
@@ -321,6 +321,6 @@
 
 @then('"{name}" records no more reservations')
 def step_records_none(context, name):
-    ask = Reserve("p", "attempt", 10, 100)
-    reply = network(context, lambda n: n.keepers[name].serve(ask))
+    request = Reserve("p", "attempt", 10, 100)
+    reply = network(context, lambda n: n.keepers[name].serve(request))
     assert isinstance(reply, Unsure), reply
--- a/tests/features/steps/review.py
+++ b/tests/features/steps/review.py
@@ -33,7 +33,7 @@
     "in {count:d} runs of {instances:d} storage instances, {disks:d} of whose"
     " disks may be lost, one set of holders grants and all front ends find it"
 )
-def step_stories(context, count, instances, disks):
+def step_random_runs(context, count, instances, disks):
     names = list(_NAMES[:instances])
 
     @hypothesis.given(OPERATIONS, _SEEDS)
@@ -74,7 +74,7 @@
 
 
 @when('"{names}" do not know of "{others}"')
-def step_not_heard(context, names, others):
+def step_unknown(context, names, others):
     for name, other in itertools.product(names.split(", "), others.split(", ")):
         members = context.network.members[name]
         members.known.pop(other, None)
@@ -82,7 +82,7 @@
 
 
 @when('"{names}" are partitioned from "{others}"')
-def step_apart(context, names, others):
+def step_partition(context, names, others):
     pairs = itertools.product(names.split(", "), others.split(", "))
     context.network.cuts |= {frozenset(pair) for pair in pairs}
 
@@ -91,7 +91,7 @@
     '{count:d} turns of a new program run at "{name}", which is killed and no'
     " longer listed"
 )
-def step_gone(context, count, name):
+def step_killed_and_unlisted(context, count, name):
     context.execute_steps(
         f'When a turn of a new program runs at "{name}"\n'
         f'And {count - 1} further turns run at "{name}"'
@@ -114,8 +114,8 @@
 
 
 @when('"{name}" was decommissioned and removed, and "{other}" restarts')
-def step_emptied_and_gone(context, name, other):
-    async def go(n):
+def step_decommissioned_and_removed(context, name, other):
+    async def remove(n):
         member = n.member(name)
         n.list_as(msgspec.structs.replace(member, leaving=True, emptied=True))
         await n.wipe(name)
@@ -128,11 +128,11 @@
         await n.kill(other)
         await n.start(other)
 
-    network(context, go)
+    network(context, remove)
 
 
 @then('"{name}" does not include "{removed}" in its roster')
-def step_not_counted(context, name, removed):
+def step_not_in_roster(context, name, removed):
     async def roster_and_unlisted(n):
         return n.members[name].roster(), n.members[name].unlisted()
 
@@ -143,11 +143,11 @@
 class WatchedKv(MemoryKv):
     """Store whose watches wait, and which counts how often keys are listed."""
 
-    asked = 0
+    list_calls = 0
 
     async def list(self, prefix):
         """Reads all keys under a prefix."""
-        self.asked += 1
+        self.list_calls += 1
         return await super().list(prefix)
 
     async def watch(self, prefix, after, seconds):
@@ -186,12 +186,12 @@
     "three lookups wait for a read of the member list and the one that reads is"
     " cancelled"
 )
-def step_three(context):
+def step_three_lookups(context):
     context.told = run_virtually(_cancel_reader())
 
 
 @then("the others learn that the store has replied")
-def step_told(context):
+def step_store_replied(context):
     assert context.told
 
 
@@ -206,23 +206,23 @@
         kv.put("other", b"")
         late = Members(kv)
         await late.catch_up()
-        kv.asked = 0
+        kv.list_calls = 0
         early.hear_of(late.changed)
         await asyncio.sleep(_PAUSE_SECONDS)
-        return kv.asked
+        return kv.list_calls
 
 
 @when(
     '"b" receives a change by its watch, other keys are written, and "a" reads'
     " the list"
 )
-def step_dated_later(context):
-    context.asked = run_virtually(_read_list_later())
+def step_later_revision(context):
+    context.list_calls = run_virtually(_read_list_later())
 
 
 @then('the reply of "a" does not make "b" read the list')
-def step_not_asked(context):
-    assert not context.asked, context.asked
+def step_list_not_read(context):
+    assert not context.list_calls, context.list_calls
 
 
 @then("no domain was silent for long enough to be suspected")
--- a/tests/support/opening.py
+++ b/tests/support/opening.py
@@ -134,7 +134,7 @@
     A request goes on if its sender times out or is cancelled.
     """
 
-    async def ask(
+    async def request(
         self, message: msgspec.Struct, seconds: float
     ) -> msgspec.Struct | None:
         """Returns the reply, or None on a timeout."""
@@ -262,18 +262,18 @@
         said = await keeper.serve(Open("p", _BUDGET, _TOKENS))
         if isinstance(said, Opened):
             # The front end continues even if the opening instance is killed.
-            asking = asyncio.create_task(self.reserve(name, said.place))
-            self.network.spawn("fronts", asyncio.wait_for(asking, 5.0))
+            reservation = asyncio.create_task(self.reserve(name, said.place))
+            self.network.spawn("fronts", asyncio.wait_for(reservation, 5.0))
             return said.place.holders
         return said.holders if isinstance(said, Elsewhere) else ()
 
     async def reserve(self, name: str, place: Any) -> None:
         """Reserves at all holders, as a front end near one instance does."""
         self.attempts += 1
-        ask = Reserve("p", f"t{self.attempts}", _TOKENS, _BUDGET, place)
+        request = Reserve("p", f"t{self.attempts}", _TOKENS, _BUDGET, place)
         replies = await asyncio.gather(
             *(
-                LossyLink(self.network, name, holder).ask(ask, 0.25)
+                LossyLink(self.network, name, holder).ask(request, 0.25)
                 for holder in place.holders
             )
         )
@@ -357,9 +357,9 @@
                 await self.follow(number)
         found = set()
         for name in network.names:
-            ask = Reserve("p", f"front-{name}", 1, _BUDGET)
-            reply = await network.reserve(name, ask)
-            holders = network.fronts[ask.attempt].budgets.holders_of("p")
+            request = Reserve("p", f"front-{name}", 1, _BUDGET)
+            reply = await network.reserve(name, request)
+            holders = network.fronts[request.attempt].budgets.holders_of("p")
             found.add(holders if isinstance(reply, Reserved) else ())
         await asyncio.sleep(_CALM_SECONDS)
         return found
--- a/tests/support/stories.py
+++ b/tests/support/stories.py
@@ -21,9 +21,9 @@
 _name = st.sampled_from(NAMES)
 OPERATIONS = st.lists(
     st.one_of(
-        st.tuples(st.just("ask"), _name),
-        st.tuples(st.just("ask"), _name),
-        st.tuples(st.just("ask"), _name),
+        st.tuples(st.just("reserve"), _name),
+        st.tuples(st.just("reserve"), _name),
+        st.tuples(st.just("reserve"), _name),
         st.tuples(st.just("race"), _name),
         st.tuples(st.just("settle"), st.integers(0, 2)),
         st.tuples(st.just("isolate"), _name),
@@ -36,8 +36,8 @@
         st.tuples(st.just("replace"), _name),
         st.tuples(st.just("follow"), _name),
         st.tuples(st.just("lapse"), _name),
-        st.tuples(st.just("store"), st.booleans()),
-        st.tuples(st.just("lose"), st.integers(1, 2)),
+        st.tuples(st.just("set_store_unreachable"), st.booleans()),
+        st.tuples(st.just("drop_replies"), st.integers(1, 2)),
     ),
     min_size=6,
     max_size=20,
@@ -65,7 +65,7 @@
             await getattr(self, kind)(argument)
             await self.network.pass_time(_STEP_SECONDS)
 
-    async def ask(self, name: str, program: str = "p") -> None:
+    async def reserve(self, name: str, program: str = "p") -> None:
         """Reserves for a turn through a front end near a storage instance."""
         if name not in self.network.members:
             return
@@ -81,7 +81,7 @@
     async def race(self, name: str) -> None:
         """Reserves for turns of one program at two instances at once."""
         other = NAMES[NAMES.index(name) - 1]
-        await asyncio.gather(self.ask(name), self.ask(other))
+        await asyncio.gather(self.reserve(name), self.reserve(other))
 
     async def settle(self, number: int) -> None:
         """Settles a turn with half of its reserved tokens."""
@@ -162,11 +162,11 @@
             if each in self.network.keepers:
                 await self.network.follow(each)
 
-    async def store(self, away: bool) -> None:
+    async def set_store_unreachable(self, unreachable: bool) -> None:
         """Makes the store unreachable or reachable."""
-        self.network.kv.away = away
+        self.network.kv.away = unreachable
 
-    async def lose(self, count: int) -> None:
+    async def drop_replies(self, count: int) -> None:
         """Drops the next replies between storage instances."""
         self.network.lose_replies = count
 
