--- a/tests/features/keeping.feature
+++ b/tests/features/keeping.feature
@@ -205,9 +205,9 @@
       | c      | nobody | c    |
 
   Scenario: Two instances open an account at once, and one would grant alone
-    Guards against a part of the budget that is granted by one instance alone
-    and again by the others, because the second opening instance asked before
-    the part was set aside.
+    Guards against a part of the budget that is granted twice: by one instance
+    alone, and by the others, as the second opening instance asked before the
+    part was set aside.
 
     Given storage instances "a, b, c"
     When "c" opens an account while "b" replies late, and "a" opens it meanwhile
