--- a/tests/features/steps/review.py
+++ b/tests/features/steps/review.py
@@ -14,7 +14,7 @@
 from rattanmill_keeper.members import PREFIX
 from support.keepers import run_in as network
 from support.memory import MemoryKv
-from support.opening import OPERATIONS, run_operations
+from support.opening import OPERATIONS, play
 from support.virtual import run_virtually
 
 _NAMES = "abcdefghijkl"
@@ -36,11 +36,12 @@
 def step_random_runs(context, count, instances, disks):
     names = list(_NAMES[:instances])
 
+    # Hypothesis derives the examples from the source text of this function.
     @hypothesis.given(OPERATIONS, _SEEDS)
     @_settings(count)
     def hold(operations, seed):
-        run = run_operations(names, operations, seed, disks)
-        granted, found = run_virtually(run)
+        story = play(names, operations, seed, disks)
+        granted, found = run_virtually(story)
         assert len(granted) <= 1, granted
         assert len(found) == 1 and () not in found, (granted, found)
         assert found >= set(granted), (granted, found)
@@ -67,9 +68,7 @@
 def step_noticed(context, instances):
     names = list(_NAMES[:instances])
     operations = [("cut", (1, 2)), ("race", (0, 2, 2)), ("wait", 0.6)]
-    granted, _ = run_virtually(
-        run_operations(names, operations, 1, prepare=_skip_store)
-    )
+    granted, _ = run_virtually(play(names, operations, 1, prepare=_skip_store))
     assert len(granted) == 2, granted
 
 
--- a/tests/support/opening.py
+++ b/tests/support/opening.py
@@ -365,7 +365,7 @@
         return found
 
 
-async def run_operations(
+async def play(
     names: list[str],
     operations: list[tuple],
     seed: int,
