--- a/tests/support/opening.py
+++ b/tests/support/opening.py
@@ -134,7 +134,7 @@
     A request goes on if its sender times out or is cancelled.
     """
 
-    async def request(
+    async def ask(
         self, message: msgspec.Struct, seconds: float
     ) -> msgspec.Struct | None:
         """Returns the reply, or None on a timeout."""
