--- a/tests/features/views.feature
+++ b/tests/features/views.feature
@@ -38,7 +38,7 @@
     And "b" has not recovered
     When all reach each other and are listed
     And "b" has followed the listed instances
-    Then "b" is whole
+    Then "b" has recovered
     And the program's turns at "a, b, c" stay within its budget and one turn
 
   Scenario: An account that a listed instance does not know
@@ -73,13 +73,13 @@
     Given storage instances "a, b, c"
     When a turn of a new program runs at "a"
     And 2 further turns run at "b" while "a" is killed
-    And "c" is replaced by "d" of its domain, which is still listed
-    And the registration of "c" has lapsed for long
+    And "c" is replaced by "d" of its domain while still listed
+    And the registration of "c" expired long ago
     And "a" has followed the listed instances
     And "d" has followed the listed instances
     And "b" loses its disk and starts where "c" is not listed
     And "b" has followed the listed instances
-    Then "b" is whole
+    Then "b" has recovered
     And the program's turns at "a, b" stay within its budget and one turn
 
   Scenario: An instance whose registration had expired is listed again
@@ -99,7 +99,7 @@
     Given storage instances "a, b, c"
     When "c" is partitioned from "a, b", and its registration expired long ago
     And turns of a new program use up its budget at "a"
-    And "c" is killed and started again
+    And "c" is killed and restarted
     And "c" is listed again while it is partitioned
     Then the program's turns at "c" stay within its budget and one turn
 
