--- a/tests/features/leaving.feature
+++ b/tests/features/leaving.feature
@@ -61,15 +61,15 @@
     When engine "engine-1" stops hanging
     Then every instance shows "engine-1" as "live"
 
-  Scenario: An engine's process is frozen
+  Scenario: An engine's process is paused
     A stalled machine keeps its connections open and sends nothing.
 
     Given endpoints in three failure domains, and a list that lags
-    When engine "engine-1" is frozen
+    When engine "engine-1" is paused
     And 12 calls are made at once
     Then all calls are answered
     And every instance of its domain shows "engine-1" as "down"
-    When engine "engine-1" resumes
+    When engine "engine-1" is resumed
     Then every instance shows "engine-1" as "live"
 
   Scenario: An engine crashes with calls in flight
--- a/tests/features/memory.feature
+++ b/tests/features/memory.feature
@@ -46,7 +46,7 @@
       | off     |
       | on      |
 
-  Scenario Outline: A paused owner resumes
+  Scenario Outline: A paused owner is resumed
     It was paused in the middle of its work and still believes that it owns the
     program. Its pin requests now concern a program that has ended, or one that
     has another owner.
@@ -56,7 +56,7 @@
     And another program of the same owner has a long turn
     And the program's owner is paused until another takes over
     And the program is ended through another instance
-    And the old owner resumes
+    And the old owner is resumed
     Then engines hold pins for the other program only
     When the other program is ended
     Then no engine holds a pin
--- a/tests/features/steps/leaving.py
+++ b/tests/features/steps/leaving.py
@@ -71,7 +71,7 @@
     """Makes batches of calls through a domain until one reaches the engine.
 
     Placement decides which engine a call goes to. An engine that was recently
-    slow or frozen gets no call while others are free, and calls cannot detect
+    slow or paused gets no call while others are free, and calls cannot detect
     that it hangs unless one reaches it. The other engines are slowed down
     meanwhile, which placement learns from their answers.
     """
@@ -94,14 +94,14 @@
     call_until(context, count, name, lambda: received(context)[name] > before)
 
 
-@when('engine "{name}" is frozen')
-def step_freeze(context, name):
+@when('engine "{name}" is paused')
+def step_pause(context, name):
     process = context.system.processes[name]
     process.pause()
     context.scenario_stack.callback(process.resume)
 
 
-@when('engine "{name}" resumes')
+@when('engine "{name}" is resumed')
 def step_resume(context, name):
     context.system.processes[name].resume()
 
--- a/tests/features/steps/memory.py
+++ b/tests/features/steps/memory.py
@@ -163,7 +163,7 @@
     )
 
 
-@when("the old owner resumes")
+@when("the old owner is resumed")
 def step_resume_owner(context):
     context.system.instance(context.paused).process.resume()
 
