--- a/tests/features/order.feature
+++ b/tests/features/order.feature
@@ -2,9 +2,9 @@
   The calls of a program run in order, at one owner at a time.
 
   Scenario: The same turn is sent concurrently through two instances
-    The caller's connection is slow, and its HTTP library sends the turn again
-    through another instance. The caller must not get two different answers or
-    be charged for the turn twice.
+    The caller's connection is slow and its library sends the turn again through
+    another instance. The turn must not get two different answers or be charged
+    twice.
 
     Given a system of three failure domains
     And a new program of failure domain 0
@@ -17,9 +17,9 @@
     And the engine ran 1 more call
     And every living instance shows turns 1
 
-  Scenario: A turn arrives while the previous turn runs
-    A program sends its next call without waiting. Run at once, the call would
-    lack the engine's previous answer.
+  Scenario: A turn arrives while the previous one runs
+    A program sends its next call without waiting for the answer. Run at once,
+    it would be answered without the previous answer in its context.
 
     Given a system of three failure domains
     And a new program of failure domain 0
@@ -32,8 +32,8 @@
     And every living instance shows turns 1, 2
 
   Scenario: The owner crashes between two turns
-    The instance that owns a program is replaced. The next call must continue
-    from the program's last turn.
+    The instance that owns a program is replaced. The next call must find the
+    program in its last state.
 
     Given a system of three failure domains
     And a program whose first turn is kept
@@ -54,11 +54,11 @@
     Then the call under way gets the kept answer of turn 2
     And every living instance shows turns 1, 2
 
-  Scenario: An owner is paused past its lease with a turn in flight
-    The owner is paused. Another instance takes the program over and runs the
-    same turn. The old owner is resumed, gets a new lease, and its engine still
-    runs its call. If it returned that answer, the caller would have one that
-    is not in the program's history.
+  Scenario: An owner is frozen past its lease with a turn in flight
+    The machine stalls. Another instance takes over the program and runs the
+    same turn. The old owner resumes with a new lease of its own and an engine
+    that still works for it. If it returned that engine's answer, the caller
+    would hold an answer that is not in the program's history.
 
     Given a system of three failure domains
     And a program whose first turn is kept
@@ -73,9 +73,9 @@
     And every living instance shows turns 1, 2
     And exactly one instance owns the program
 
-  Scenario Outline: A failure domain is cut off from <from>
+  Scenario Outline: A failure domain is cut off <from>
     Callers inside the domain still reach its instances and engines. They are
-    served during the whole partition, however long it is, and nothing is lost.
+    served throughout the partition, however long it lasts, and no turn is lost.
 
     Given a system of three failure domains
     And a program whose first turn is kept
@@ -91,10 +91,10 @@
       | the other domains |
       | everything        |
 
-  Scenario: An engine is slow for a call that came through another domain
-    Instances of different domains rarely exchange heartbeats. The one that
-    the caller reached must not take a slow engine for a crashed owner: it
-    would send the turn again, or refuse a turn that is stored.
+  Scenario: A slow engine serves a call from another domain
+    Instances of different domains exchange messages rarely. The instance that
+    the caller reached must not mistake a slow engine for a crashed owner: it
+    would send the turn again, or return an error for a turn that is kept.
 
     Given a system of three failure domains
     And a program whose first turn is kept
