--- a/bench/state.py
+++ b/bench/state.py
@@ -28,9 +28,9 @@
     ShardLog,
     TurnKept,
     compact,
-    open_receipt,
     recover,
-    seal_receipt,
+    sign_receipt,
+    verify_receipt,
 )
 from rattanmill_programs.program import Program, apply, next_chain
 from support import wait_until
@@ -80,7 +80,7 @@
     """Returns the next turn of a program, as long as a usual one."""
     half = b'"' + b"x" * (_TURN_BYTES // 2 - 2) + b'"'
     turn = TurnKept(
-        program.made.program,
+        program.creation.program,
         len(program.turns) + 1,
         b"d" * 32,
         len(program.transcript),
@@ -161,7 +161,7 @@
     programs = [shard.programs[name] for name, shard in owners.items()]
 
     async def keep(program: Program, turn: TurnKept) -> int:
-        fate = await owners[program.made.program].keep(turn)
+        fate = await owners[program.creation.program].keep(turn)
         assert isinstance(fate, Committed), fate
         return 0
 
@@ -211,10 +211,10 @@
 
     async def keep(program: Program, turn: TurnKept) -> int:
         mine = receipts[id(program)]
-        assert all(open_receipt(_SECRET, text) for text in mine)
+        assert all(verify_receipt(_SECRET, text) for text in mine)
         apply({turn.program: program}, turn)
         brought = sum(len(text) for text in mine)
-        mine.append(seal_receipt(_SECRET, turn))
+        mine.append(sign_receipt(_SECRET, turn))
         return brought + len(mine[-1])
 
     return await drive("receipts only", counts, programs, keep)
--- a/libs/entry/src/rattanmill_entry/acts.py
+++ b/libs/entry/src/rattanmill_entry/acts.py
@@ -32,7 +32,7 @@
 from rattanmill_entry.upstream import Failed, ServiceResponse, call_service
 from rattanmill_policy import Outcome, Work
 from rattanmill_programs import (
-    LOOSE_TOKEN,
+    STANDALONE_TOKEN,
     Act,
     ActIntended,
     ActSettled,
@@ -117,7 +117,7 @@
     Acts without a program share a holder with those of other workspaces. With
     the idempotency key alone, one caller could get another caller's response.
     """
-    if start.program.endswith(f".{LOOSE_TOKEN}"):
+    if start.program.endswith(f".{STANDALONE_TOKEN}"):
         return f"{start.workspace}/{start.key}"
     return start.key
 
@@ -164,7 +164,7 @@
 
 
 def _check_program(program: Program) -> Refusal | None:
-    made = program.made
+    made = program.creation
     if program.ended is not None:
         return refuse(Reason.PROGRAM_ENDED, "The program has ended.")
     if made.seconds and time.time() > made.created + made.seconds:
@@ -187,7 +187,7 @@
 
 
 async def _run_to_completion(run: _ActRun) -> list[Reply]:
-    with run.shard.busy():
+    with run.shard.track_call():
         try:
             return await _run_with_intent(run)
         finally:
@@ -201,7 +201,7 @@
         del run.program.acts[act.key]
         return [ownership_lost(run.start, Ran.NO)]
     intended = ActIntended(
-        run.program.made.program, act.key, act.digest, run.shard.epoch
+        run.program.creation.program, act.key, act.digest, run.shard.epoch
     )
     appended = await run.shard.log.append(intended)
     if not isinstance(appended, Committed):
@@ -286,7 +286,7 @@
     program, act = run.program, run.act
     if program.acts.get(act.key) is act:
         del program.acts[act.key]
-    run.shard.log.enqueue(ActWithdrawn(program.made.program, act.key))
+    run.shard.log.enqueue(ActWithdrawn(program.creation.program, act.key))
     return [refused(run.start, refusal)]
 
 
@@ -311,7 +311,7 @@
 def _settled_record(
     run: _ActRun, response: ServiceResponse | None
 ) -> ActSettled:
-    program, key = run.program.made.program, run.act.key
+    program, key = run.program.creation.program, run.act.key
     if response is None:
         return ActSettled(program, key, Ran.UNKNOWN)
     if len(response.body) > _MAX_STORED_BODY_BYTES:
--- a/libs/entry/src/rattanmill_entry/budget.py
+++ b/libs/entry/src/rattanmill_entry/budget.py
@@ -37,7 +37,7 @@
     Checks the number of turns, the time and the number of identical calls in
     a row.
     """
-    made = program.made
+    made = program.creation
     if len(program.turns) >= made.turns:
         detail = f"All {made.turns} turns of the budget are used."
         return refuse(Reason.BUDGET_EXHAUSTED, detail)
@@ -90,14 +90,14 @@
     """
     prompt = _prompt_bound(program, plan)
     while True:
-        program.held = 0
+        program.turn_max_tokens = 0
         left = program.tokens_left - prompt
         if left < 1:
             detail = f"{program.tokens_left} tokens are left of the budget."
             return refuse(Reason.BUDGET_EXHAUSTED, detail)
         plan.max_tokens = min(plan.max_tokens, left)
-        program.held = prompt + plan.max_tokens
-        needed_tokens = program.spent + program.held
+        program.turn_max_tokens = prompt + plan.max_tokens
+        needed_tokens = program.spent + program.turn_max_tokens
         if needed_tokens <= program.reserved:
             return None
         refusal = await _commit_reservation(shard, program, needed_tokens)
@@ -108,9 +108,10 @@
 async def _commit_reservation(
     shard: Shard, program: Program, needed_tokens: int
 ) -> Refusal | None:
-    ahead = program.made.tokens // _RESERVE_AHEAD_DIVISOR
+    ahead = program.creation.tokens // _RESERVE_AHEAD_DIVISOR
     record = BudgetReserved(
-        program.made.program, min(program.made.tokens, needed_tokens + ahead)
+        program.creation.program,
+        min(program.creation.tokens, needed_tokens + ahead),
     )
     appended = await shard.commit(record)
     if isinstance(appended, Committed):
@@ -139,8 +140,8 @@
         The refusal if the budget allows no other attempt, else None.
     """
     requested_tokens = plan.max_tokens
-    record = BudgetSpent(program.made.program, program.held)
-    program.held = 0
+    record = BudgetSpent(program.creation.program, program.turn_max_tokens)
+    program.turn_max_tokens = 0
     # No need to wait for the commit: a new owner starts from the reserved
     # tokens, which include these.
     apply(shard.programs, record)
@@ -148,7 +149,7 @@
     refusal = await reserve_tokens(shard, program, plan)
     if refusal is None and plan.max_tokens < requested_tokens:
         # The next attempt needs as many tokens as the first.
-        program.held = 0
+        program.turn_max_tokens = 0
         detail = "The budget does not allow another attempt."
         refusal = refuse(Reason.BUDGET_EXHAUSTED, detail)
     return refusal
--- a/libs/entry/src/rattanmill_entry/expiry.py
+++ b/libs/entry/src/rattanmill_entry/expiry.py
@@ -29,17 +29,17 @@
 
 
 def _is_expired(program: Program, now: float) -> bool:
-    made = program.made
+    made = program.creation
     if program.ended is not None or not made.seconds or program.waiting:
         return False
     return now > made.created + made.seconds
 
 
 async def _end(node: Node, shard: Shard, program: Program) -> None:
-    with shard.busy():
+    with shard.track_call():
         async with program.lock:
             if program.ended is None and node.lease.holds():
-                record = ProgramEnded(program.made.program, time.time())
+                record = ProgramEnded(program.creation.program, time.time())
                 await shard.keep(record)
                 node.metrics.count("rattanmill_programs_expired")
-                _log.info("Program {} expired.", program.made.program)
+                _log.info("Program {} expired.", program.creation.program)
--- a/libs/entry/src/rattanmill_entry/http.py
+++ b/libs/entry/src/rattanmill_entry/http.py
@@ -28,7 +28,7 @@
 )
 from rattanmill_entry.replies import Reply, refused
 from rattanmill_entry.route import act_shard, dispatch, new_program_shard
-from rattanmill_programs import LOOSE_TOKEN
+from rattanmill_programs import STANDALONE_TOKEN
 from rattanmill_wire import (
     CallKind,
     CallStart,
@@ -113,7 +113,7 @@
     parent = parse_program_id(parent_id)
     shard = new_program_shard(node)
     if parent:
-        shard = f"{parent.domain}.{parent.shard}.{LOOSE_TOKEN}"
+        shard = f"{parent.domain}.{parent.shard}.{STANDALONE_TOKEN}"
     start = _start(request, CallKind.CREATE, shard, body)
     return await _answer(node, request, start)
 
@@ -190,7 +190,7 @@
 def _is_program(text: str) -> bool:
     """Whether a caller may name this; holders of loose acts are ours."""
     parsed = parse_program_id(text)
-    return parsed is not None and parsed.token != LOOSE_TOKEN
+    return parsed is not None and parsed.token != STANDALONE_TOKEN
 
 
 def _start(
--- a/libs/entry/src/rattanmill_entry/lifecycle.py
+++ b/libs/entry/src/rattanmill_entry/lifecycle.py
@@ -130,10 +130,10 @@
             return refuse(Reason.UNKNOWN_PROGRAM, "There is no such parent.")
         if parent.ended is not None:
             return refuse(Reason.PROGRAM_ENDED, "The parent has ended.")
-        if start.workspace not in ("", parent.made.workspace):
+        if start.workspace not in ("", parent.creation.workspace):
             detail = "The parent belongs to another workspace."
             return refuse(Reason.FOREIGN_PROGRAM, detail)
-        if start.workspace and parent.made.workspace != start.workspace:
+        if start.workspace and parent.creation.workspace != start.workspace:
             detail = "The parent belongs to another workspace."
             return refuse(Reason.FOREIGN_PROGRAM, detail)
         if tokens > parent.tokens_unreserved:
@@ -158,7 +158,7 @@
 
 def show(node: Node, program: Program, start: CallStart) -> list[Reply]:
     """Shows a program's state."""
-    made = program.made
+    made = program.creation
     age = time.time() - made.created
     shown = _Shown(
         program=made.program,
@@ -190,7 +190,9 @@
         for turn in program.turns
     ]
     messages = [msgspec.Raw(message) for message in program.transcript]
-    body = msgspec.json.encode(_History(program.made.program, turns, messages))
+    body = msgspec.json.encode(
+        _History(program.creation.program, turns, messages)
+    )
     return whole_reply(start, 200, JSON_HEADERS, body)
 
 
@@ -200,7 +202,7 @@
     """Ends a program after the turn that is under way."""
     async with program.lock:
         if program.ended is None:
-            record = ProgramEnded(program.made.program, time.time())
+            record = ProgramEnded(program.creation.program, time.time())
             if isinstance(await shard.keep(record), Fenced):
                 detail = "Another instance owns the program now."
                 return [refused(start, refuse(Reason.NOT_OWNER, detail))]
--- a/libs/entry/src/rattanmill_entry/route.py
+++ b/libs/entry/src/rattanmill_entry/route.py
@@ -15,7 +15,7 @@
 from rattanmill_entry.replies import Replies, refused
 from rattanmill_entry.serve import not_served, serve, serve_loose
 from rattanmill_platform import InstanceRecord, ShardOwner
-from rattanmill_programs import LOOSE_TOKEN
+from rattanmill_programs import STANDALONE_TOKEN
 from rattanmill_wire import CallKind, CallStart, ReplyHead, ReplyRefused
 
 _MAX_OWNER_WAIT_LEASES = 3
@@ -122,14 +122,14 @@
     in handover may have no owner until its last call has ended.
 
     Returns:
-        Failure domain, shard number and LOOSE_TOKEN, joined by dots.
+        Failure domain, shard number and STANDALONE_TOKEN, joined by dots.
     """
     domain = node.settings.domain
     own_shards = [shard for name, shard in node.shards if name == domain]
     chosen = random.choice(
         own_shards or _stable_shards(node) or range(shard_count(node, domain))
     )
-    return f"{domain}.{chosen}.{LOOSE_TOKEN}"
+    return f"{domain}.{chosen}.{STANDALONE_TOKEN}"
 
 
 def _stable_shards(node: Node) -> list[int]:
@@ -171,4 +171,4 @@
         for shard in range(shard_count(node, domain))
     ]
     domain, shard = shards[number % len(shards)]
-    return f"{domain}.{shard}.{LOOSE_TOKEN}"
+    return f"{domain}.{shard}.{STANDALONE_TOKEN}"
--- a/libs/entry/src/rattanmill_entry/serve.py
+++ b/libs/entry/src/rattanmill_entry/serve.py
@@ -32,7 +32,7 @@
 from rattanmill_entry.turns import run_turn
 from rattanmill_entry.upstream import Delta, Finished
 from rattanmill_policy import Work
-from rattanmill_programs import LOOSE_TOKEN, Program, Shard
+from rattanmill_programs import STANDALONE_TOKEN, Program, Shard
 from rattanmill_wire import CallKind, CallStart, ReplyChunk, ReplyEnd, ReplyHead
 
 # Shards without a long call have their next owner long before.
@@ -50,7 +50,7 @@
     if not node.lease.holds():
         yield ownership_lost(start, Ran.NO)
         return
-    with shard.busy():
+    with shard.track_call():
         async for reply in _serve_owned(node, shard, start):
             yield reply
 
@@ -87,8 +87,8 @@
 
 async def _serve_program(node: Node, shard: Shard, start: CallStart) -> Replies:
     program = shard.programs.get(start.program)
-    if program is None and start.program.endswith(f".{LOOSE_TOKEN}"):
-        program = shard.loose_acts
+    if program is None and start.program.endswith(f".{STANDALONE_TOKEN}"):
+        program = shard.standalone_acts
     if program is None:
         detail = "There is no such program, or it ended long ago."
         yield refused(start, refuse(Reason.UNKNOWN_PROGRAM, detail))
@@ -113,9 +113,9 @@
 
 
 def _is_foreign(start: CallStart, program: Program) -> bool:
-    if start.program.endswith(f".{LOOSE_TOKEN}") or not start.workspace:
+    if start.program.endswith(f".{STANDALONE_TOKEN}") or not start.workspace:
         return False
-    return start.workspace != program.made.workspace
+    return start.workspace != program.creation.workspace
 
 
 async def _each(replies: list) -> Replies:
--- a/libs/entry/src/rattanmill_entry/turns.py
+++ b/libs/entry/src/rattanmill_entry/turns.py
@@ -44,8 +44,8 @@
     Program,
     Shard,
     TurnKept,
-    open_receipt,
-    seal_receipt,
+    sign_receipt,
+    verify_receipt,
 )
 from rattanmill_programs.program import next_chain
 from rattanmill_wire import CallStart, ReplyHead
@@ -90,7 +90,7 @@
 ) -> None:
     program.waiting += 1
     try:
-        with shard.busy():
+        with shard.track_call():
             await _run_in_order(node, shard, program, start, outbox)
     finally:
         program.waiting -= 1
@@ -150,7 +150,7 @@
             return
         await _run_plan(node, shard, program, start, plan, outbox)
     finally:
-        program.held = 0
+        program.turn_max_tokens = 0
 
 
 async def _apply_receipts(
@@ -162,8 +162,8 @@
         The refusal if a receipt cannot be applied, else None.
     """
     for text in chat.receipts:
-        turn = open_receipt(node.secret.secret, text)
-        if turn is None or turn.program != program.made.program:
+        turn = verify_receipt(node.secret.secret, text)
+        if turn is None or turn.program != program.creation.program:
             detail = "A receipt does not belong to this program."
             return refuse(Reason.RECEIPT_INVALID, detail)
         turn_count = len(program.turns)
@@ -241,7 +241,7 @@
 def _chat_run(
     shard: Shard, program: Program, start: CallStart, plan: Plan
 ) -> ChatRun:
-    made = program.made
+    made = program.creation
     work = Work(
         program=made.program,
         parent=made.parent,
@@ -282,16 +282,19 @@
     if not node.lease.holds():
         outbox.put(ownership_lost(start, Ran.UNKNOWN))
         return
-    if end.usage.prompt_tokens + end.usage.completion_tokens > program.held:
+    if (
+        end.usage.prompt_tokens + end.usage.completion_tokens
+        > program.turn_max_tokens
+    ):
         node.metrics.count("rattanmill_engine_faults", kind="over_report")
     turn = _turn_record(program, plan, answer.message(), end)
     appended = await shard.keep(turn)
     if isinstance(appended, Fenced) or not node.lease.holds():
         outbox.put(ownership_lost(start, Ran.UNKNOWN))
         return
-    extra: dict = {"program": program.made.program, "turn": plan.number}
+    extra: dict = {"program": program.creation.program, "turn": plan.number}
     if isinstance(appended, Deferred):
-        extra["receipt"] = seal_receipt(node.secret.secret, turn)
+        extra["receipt"] = sign_receipt(node.secret.secret, turn)
         node.metrics.count("rattanmill_receipts")
     if not start.stream:
         body = completion_body(start.call, turn.model, turn.answer, end, extra)
@@ -308,7 +311,7 @@
     usage = end.usage
     spent = program.spent + usage.prompt_tokens + usage.completion_tokens
     turn = TurnKept(
-        program=program.made.program,
+        program=program.creation.program,
         turn=plan.number,
         digest=plan.chat.digest,
         base=plan.base,
--- a/libs/programs/src/rattanmill_programs/__init__.py
+++ b/libs/programs/src/rattanmill_programs/__init__.py
@@ -1,8 +1,8 @@
-"""Programs: their order, history, budget and acts, owned shard by shard."""
+"""Programs of a shard: turn order, history, budget and acts."""
 
 from rattanmill_programs.compaction import compact, drop_ended, is_due
-from rattanmill_programs.program import LOOSE_TOKEN, Act, Program, Turn
-from rattanmill_programs.receipts import open_receipt, seal_receipt
+from rattanmill_programs.program import STANDALONE_TOKEN, Act, Program, Turn
+from rattanmill_programs.receipts import sign_receipt, verify_receipt
 from rattanmill_programs.records import (
     ActIntended,
     ActSettled,
@@ -27,7 +27,7 @@
 from rattanmill_programs.shardlog import Committed, Deferred, ShardLog
 
 __all__ = [
-    "LOOSE_TOKEN",
+    "STANDALONE_TOKEN",
     "Act",
     "ActIntended",
     "ActSettled",
@@ -53,7 +53,7 @@
     "compact",
     "drop_ended",
     "is_due",
-    "open_receipt",
     "recover",
-    "seal_receipt",
+    "sign_receipt",
+    "verify_receipt",
 ]
--- a/libs/programs/src/rattanmill_programs/compaction.py
+++ b/libs/programs/src/rattanmill_programs/compaction.py
@@ -1,9 +1,9 @@
-"""Keeps a shard's memory and log short.
+"""Limits the size of a shard's memory and log.
 
-A log is compacted in four steps: every program is written anew at its end,
-then the log's start is moved there, then the slots before it are deleted, the
-oldest first. After a crash at any point the log's start names slots that are
-all there: until it moves, the old ones; from then on, the new ones.
+A compaction appends a snapshot of every program to the log, moves the log's
+start to the snapshot, and deletes the slots before it, the oldest first. After
+a crash at any point, all slots from the log's start on exist: the old ones
+until the start moves, the new ones from then on.
 """
 
 import asyncio
@@ -13,23 +13,31 @@
 
 from rattanmill_core import new_id
 from rattanmill_platform import Conflict, Found, Unavailable, Written
-from rattanmill_programs.program import LOOSE_TOKEN, Program, snapshot
+from rattanmill_programs.program import STANDALONE_TOKEN, Program, snapshot
 from rattanmill_programs.records import Record
 from rattanmill_programs.recovery import LogStart, slot_key, start_key
 from rattanmill_programs.shard import Shard
 from rattanmill_programs.shardlog import Committed
 
 _RETENTION_SECONDS = 3600.0
-_LEAST_BYTES = 8_000_000
-_LEAST_SLOTS = 2000
-_GROWTH = 2
+_MIN_BYTES = 8_000_000
+_MIN_SLOTS = 2000
+_GROWTH_FACTOR = 2
 _BATCH_BYTES = 500_000
-# Deletes are calls too; spread out, they leave the service room for commits.
+# Deletes are spread out to leave the key-value service capacity for commits.
 _DELETE_PAUSE_SECONDS = 0.02
 
 
 def drop_ended(shard: Shard, retention: float = _RETENTION_SECONDS) -> int:
-    """Forgets programs that ended long ago; returns how many."""
+    """Drops ended programs from memory after their retention time.
+
+    Args:
+        shard: Shard whose programs to check.
+        retention: Seconds for which an ended program is kept.
+
+    Returns:
+        Number of dropped programs.
+    """
     before = time.time() - retention
     dropped = [
         name
@@ -37,46 +45,50 @@
         if program.ended is not None
         and program.ended < before
         and program.idle
-        and not _has_living_child(shard, name)
+        and not _has_running_child(shard, name)
     ]
     for name in dropped:
         del shard.programs[name]
     return len(dropped)
 
 
-def _has_living_child(shard: Shard, name: str) -> bool:
+def _has_running_child(shard: Shard, name: str) -> bool:
     return any(
-        child.made.parent == name and child.ended is None
+        child.creation.parent == name and child.ended is None
         for child in shard.programs.values()
-        if child.made.parent
+        if child.creation.parent
     )
 
 
 def is_due(shard: Shard) -> bool:
-    """Whether a shard's log has outgrown what lives in it."""
+    """Whether a shard's log has grown enough since its last snapshot."""
     log = shard.log
-    bound = max(_LEAST_BYTES, _GROWTH * log.start.size)
+    bound = max(_MIN_BYTES, _GROWTH_FACTOR * log.start.size)
     return (
         log.size > bound + log.start.size
-        or log.next_slot - log.start.last > _LEAST_SLOTS
+        or log.next_slot - log.start.last > _MIN_SLOTS
     )
 
 
 async def compact(
     shard: Shard, delete_pause: float = _DELETE_PAUSE_SECONDS
 ) -> bool:
-    """Rewrites what lives in a shard's log and deletes the rest.
+    """Compacts a shard's log into a snapshot and deletes older slots.
+
+    Args:
+        shard: Shard to compact.
+        delete_pause: Seconds between deletes.
 
     Returns:
-        Whether all that went well; if not, the next try makes up for it.
+        Whether the compaction was completed; if not, the next one completes it.
     """
     floor = shard.log.start.floor
     start = await _write_snapshot(shard)
     if start is None or not await _move_start(shard, start):
         return False
     for slot in range(floor, start.first):
-        # A paused owner must not go on deleting when it wakes up.
-        if shard.log.fenced or not shard.log.is_sure():
+        # A paused owner must not continue to delete when it resumes.
+        if shard.log.fenced or not shard.log.is_ownership_certain():
             return False
         key = slot_key(shard.domain, shard.number, slot)
         if isinstance(await shard.log.kv.delete(key), Unavailable):
@@ -87,20 +99,20 @@
 
 
 async def _write_snapshot(shard: Shard) -> LogStart | None:
-    """Writes all programs anew, many to a segment."""
+    """Appends a snapshot of all programs, many programs per segment."""
     log = shard.log
     first = log.next_slot
     before = log.size
-    left = [p for p in shard.programs.values() if _is_worth_keeping(p)]
-    while left:
-        # Nothing may be queued between a program's snapshot and its own
-        # queueing, so that what it is now and the log before it agree.
+    remaining = [p for p in shard.programs.values() if _needs_snapshot(p)]
+    while remaining:
+        # Nothing may be queued between taking and queueing a snapshot (no
+        # await), so that the snapshot matches the log before it.
         records: list[Record] = []
         size = 0
-        while left and size < _BATCH_BYTES:
-            taken = snapshot(left.pop(), shard.epoch)
-            size += len(msgspec.msgpack.encode(taken))
-            records += taken
+        while remaining and size < _BATCH_BYTES:
+            program_records = snapshot(remaining.pop(), shard.epoch)
+            size += len(msgspec.msgpack.encode(program_records))
+            records += program_records
         if not isinstance(await log.enqueue(*records), Committed):
             return None
     return LogStart(
@@ -112,15 +124,15 @@
     )
 
 
-def _is_worth_keeping(program: Program) -> bool:
-    loose = program.made.program.endswith(f".{LOOSE_TOKEN}")
-    return not loose or bool(program.acts)
+def _needs_snapshot(program: Program) -> bool:
+    standalone = program.creation.program.endswith(f".{STANDALONE_TOKEN}")
+    return not standalone or bool(program.acts)
 
 
 async def _move_start(shard: Shard, start: LogStart) -> bool:
-    """Writes the log's start; a lost answer is settled by reading."""
+    """Writes the log's start; reads it back if the response was lost."""
     log = shard.log
-    if log.fenced or not log.is_sure():
+    if log.fenced or not log.is_ownership_certain():
         return False
     key = start_key(shard.domain, shard.number)
     value = msgspec.json.encode(start)
--- a/libs/programs/src/rattanmill_programs/program.py
+++ b/libs/programs/src/rattanmill_programs/program.py
@@ -1,4 +1,4 @@
-"""A program's state and how records change it."""
+"""State of a program, and how log records change it."""
 
 import asyncio
 import hashlib
@@ -22,7 +22,7 @@
 
 
 class Turn(msgspec.Struct):
-    """A turn as it is held in memory."""
+    """A kept turn in memory."""
 
     record: TurnKept
 
@@ -38,8 +38,9 @@
     Attributes:
         key: Idempotency key.
         digest: Digest of the request.
-        settled: Outcome; None while it is under way or was lost.
-        running: Done when the try that this process made has ended.
+        settled: Outcome; None while the call is in progress or if the outcome
+            was lost.
+        running: Done when the attempt of this process has ended.
     """
 
     key: str
@@ -52,42 +53,42 @@
     """A program owned by this instance.
 
     Attributes:
-        made: The record that made it.
-        turns: Kept turns, in order.
+        creation: Record that created the program.
+        turns: Kept turns in order.
         transcript: JSON of each message of the conversation so far.
-        spent: Tokens spent, including those given to sub-agents.
-        reserved: Tokens that may be spent without a further commit.
-        held: Most tokens that the turn under way can cost.
-        promised: Tokens of reservations that may yet be committed; another
-            program must not be given them.
+        spent: Tokens spent, including the budgets of sub-agents.
+        reserved: Total tokens that may be spent without a further commit.
+        turn_max_tokens: Maximum tokens that the turn in progress can use.
+        pending_reserved: Total tokens of reservations that may still be
+            committed; they must not be given to another program.
         acts: Non-idempotent calls by key.
-        ended: Seconds since the epoch, or None.
+        ended: Unix time in seconds at which the program ended, or None.
         lock: Held while a turn runs, so that turns run in order.
-        waiting: Turns that run or wait for the lock.
+        waiting: Number of turns that run or wait for the lock.
     """
 
     __slots__ = (
         "acts",
+        "creation",
         "ended",
-        "held",
         "lock",
-        "made",
-        "promised",
+        "pending_reserved",
         "reserved",
         "spent",
         "transcript",
+        "turn_max_tokens",
         "turns",
         "waiting",
     )
 
-    def __init__(self, made: ProgramCreated) -> None:
-        self.made = made
+    def __init__(self, creation: ProgramCreated) -> None:
+        self.creation = creation
         self.turns: list[Turn] = []
         self.transcript: list[bytes] = []
         self.spent = 0
         self.reserved = 0
-        self.held = 0
-        self.promised = 0
+        self.turn_max_tokens = 0
+        self.pending_reserved = 0
         self.acts: dict[str, Act] = {}
         self.ended: float | None = None
         self.lock = asyncio.Lock()
@@ -97,48 +98,52 @@
     def chain(self) -> bytes:
         """Digest over all kept turns."""
         if not self.turns:
-            return hashlib.sha256(self.made.program.encode()).digest()
+            return hashlib.sha256(self.creation.program.encode()).digest()
         return self.turns[-1].record.chain
 
     @property
     def tokens_left(self) -> int:
         """Tokens that may still be spent."""
-        return self.made.tokens - self.spent
+        return self.creation.tokens - self.spent
 
     @property
     def tokens_unreserved(self) -> int:
-        """Tokens that nothing has been promised."""
-        used = max(self.spent + self.held, self.reserved, self.promised)
-        return self.made.tokens - used
+        """Tokens that are neither spent, reserved nor needed by a turn."""
+        used = max(
+            self.spent + self.turn_max_tokens,
+            self.reserved,
+            self.pending_reserved,
+        )
+        return self.creation.tokens - used
 
     @property
     def idle(self) -> bool:
-        """Whether nothing of it is under way."""
+        """Whether no turn or act of the program is in progress."""
         running = any(act.running is not None for act in self.acts.values())
         return not self.waiting and not running
 
 
-# Last part of the id under which a shard keeps acts that have no program.
-LOOSE_TOKEN = "any"
+# Last part of the id of the pseudo-program for acts that have no program.
+STANDALONE_TOKEN = "any"
 
 
-def loose_program(program: str) -> Program:
-    """Returns the holder of a shard's acts that belong to no program."""
+def standalone_program(program: str) -> Program:
+    """Returns the pseudo-program for acts that belong to no program."""
     return Program(ProgramCreated(program, "", "", 0, 0, 0.0, 0.0))
 
 
 def next_chain(chain: bytes, turn: TurnKept) -> bytes:
-    """Returns the digest over a turn and, by ``chain``, all before it."""
+    """Returns the digest over a turn and, by ``chain``, all earlier turns."""
     blank = msgspec.structs.replace(turn, chain=b"")
     return hashlib.sha256(chain + msgspec.msgpack.encode(blank)).digest()
 
 
 def apply(programs: dict[str, Program], record: Record) -> None:
-    """Changes ``programs`` as the record says.
+    """Applies a record to ``programs``.
 
     Raises:
-        InvariantError: The record does not follow from the state; the log or
-            the code that wrote it is wrong.
+        InvariantError: The record is inconsistent with the state, due to a
+            damaged log or a fault in the code that wrote it.
     """
     if isinstance(record, EpochOpened):
         _open_epoch(programs)
@@ -148,19 +153,21 @@
         programs[record.program] = _restore(record)
     else:
         program = programs.get(record.program)
-        if program is None and record.program.endswith(f".{LOOSE_TOKEN}"):
-            program = loose_program(record.program)
+        if program is None and record.program.endswith(f".{STANDALONE_TOKEN}"):
+            program = standalone_program(record.program)
             programs[record.program] = program
         if program is None:
-            raise InvariantError(f"No program {record.program} in this shard.")
+            raise InvariantError(
+                f"Program {record.program} does not exist in this shard."
+            )
         _change(programs, program, record)
 
 
 def _open_epoch(programs: dict[str, Program]) -> None:
-    """Counts all that was reserved as spent.
+    """Counts all reserved tokens as spent.
 
-    The owner before may have sent calls whose usage was never committed. What
-    it could have spent at most is what it had reserved.
+    The previous owner may have sent calls whose usage was never committed. It
+    can have spent at most what it had reserved.
     """
     for program in programs.values():
         program.spent = max(program.spent, program.reserved)
@@ -169,12 +176,12 @@
 def _create(programs: dict[str, Program], record: ProgramCreated) -> None:
     programs[record.program] = Program(record)
     if parent := programs.get(record.parent):
-        # Both move: a turn of the parent that is under way keeps the room
-        # that was reserved for it.
+        # Both increase, so that a turn of the parent that is in progress
+        # keeps the tokens that were reserved for it.
         parent.spent += record.tokens
         parent.reserved += record.tokens
-        if parent.promised:
-            parent.promised += record.tokens
+        if parent.pending_reserved:
+            parent.pending_reserved += record.tokens
 
 
 def _restore(record: ProgramRestored) -> Program:
@@ -188,15 +195,15 @@
 
 
 def snapshot(program: Program, epoch: int) -> list[Record]:
-    """Returns records that rebuild a program as it is now."""
+    """Returns records that rebuild the current state of a program."""
     restored = ProgramRestored(
-        program.made,
+        program.creation,
         program.spent,
-        max(program.reserved, program.promised),
+        max(program.reserved, program.pending_reserved),
         program.ended,
         [turn.record for turn in program.turns],
     )
-    name = program.made.program
+    name = program.creation.program
     acts: list[Record] = []
     for act in program.acts.values():
         acts.append(ActIntended(name, act.key, act.digest, epoch))
@@ -211,7 +218,7 @@
     match record:
         case BudgetReserved():
             program.reserved = max(
-                program.reserved, record.tokens, program.promised
+                program.reserved, record.tokens, program.pending_reserved
             )
         case BudgetSpent():
             program.spent += record.tokens
@@ -247,14 +254,14 @@
     if program.ended is not None:
         return
     program.ended = record.ended
-    parent = programs.get(program.made.parent)
+    parent = programs.get(program.creation.parent)
     if parent and parent.ended is None:
         left = max(0, program.tokens_left)
         parent.spent -= left
         parent.reserved -= left
-        parent.promised = max(0, parent.promised - left)
+        parent.pending_reserved = max(0, parent.pending_reserved - left)
 
 
 def is_unknown(act: Act) -> bool:
-    """Whether the outcome of an act will never be known."""
+    """Whether an act was settled with an unknown outcome."""
     return act.settled is not None and act.settled.ran is Ran.UNKNOWN
--- a/libs/programs/src/rattanmill_programs/receipts.py
+++ b/libs/programs/src/rattanmill_programs/receipts.py
@@ -1,8 +1,8 @@
-"""Receipts: turns that the caller keeps while the key-value service is away.
+"""Receipts: turns that callers hold while the key-value service is unavailable.
 
-A receipt is the whole turn, sealed with a keyed hash. The turn's own chain
-digest ties it to the program and to every turn before it, so a receipt that
-was altered, or that belongs to another place or program, does not verify.
+A receipt is the whole turn, authenticated with a keyed hash (HMAC). The turn's
+chain digest binds it to the program and to every earlier turn, so a receipt
+that was altered, or belongs to another position or program, does not verify.
 """
 
 import base64
@@ -17,14 +17,14 @@
 _TAG_BYTES = 32
 
 
-def seal_receipt(secret: bytes, turn: TurnKept) -> str:
-    """Returns the receipt of a turn as text."""
+def sign_receipt(secret: bytes, turn: TurnKept) -> str:
+    """Returns the receipt of a turn as URL-safe base64."""
     data = msgspec.msgpack.encode(turn)
     return base64.urlsafe_b64encode(_tag(secret, data) + data).decode()
 
 
-def open_receipt(secret: bytes, text: str) -> TurnKept | None:
-    """Returns the turn, or None if the receipt is not one of ours."""
+def verify_receipt(secret: bytes, text: str) -> TurnKept | None:
+    """Returns the turn, or None if the receipt is not valid."""
     try:
         raw = base64.urlsafe_b64decode(text)
     except (binascii.Error, ValueError):
--- a/libs/programs/src/rattanmill_programs/records.py
+++ b/libs/programs/src/rattanmill_programs/records.py
@@ -1,7 +1,7 @@
 """Records of a shard's log, and the segments in which they are committed.
 
-Replaying a shard's segments in order rebuilds its programs. The form is
-msgpack; a record is applied the same way live and at replay (see
+Replaying a shard's segments in order rebuilds its programs. Segments are
+encoded as msgpack. A record is applied the same way live and at replay (see
 ``program.apply``).
 """
 
@@ -11,24 +11,24 @@
 
 
 class EpochOpened(msgspec.Struct, tag=1, frozen=True):
-    """A new owner starts here; what an older epoch writes later is refused."""
+    """Start of an owner's epoch; later writes of older epochs are rejected."""
 
     epoch: int
     owner: str
 
 
 class ProgramCreated(msgspec.Struct, tag=2, frozen=True):
-    """A program exists.
+    """A program was created.
 
     Attributes:
         program: Program id.
-        klass: Class of work.
+        klass: Work class.
         workspace: Workspace it belongs to.
         tokens: Budget in tokens.
         turns: Budget in turns.
-        seconds: Budget in seconds of wall time.
-        created: Seconds since the epoch.
-        parent: Program from whose budget this one's is carved, or empty.
+        seconds: Budget in seconds of wall-clock time.
+        created: Unix time in seconds.
+        parent: Program whose budget this program's budget is part of, or empty.
     """
 
     program: str
@@ -42,7 +42,7 @@
 
 
 class BudgetReserved(msgspec.Struct, tag=3, frozen=True):
-    """Up to ``tokens`` in all may be spent by the epoch that wrote this."""
+    """The epoch that wrote this may spend up to ``tokens`` in total."""
 
     program: str
     tokens: int
@@ -54,16 +54,17 @@
     Attributes:
         program: Program id.
         turn: Number, from 1.
-        digest: Digest of the request, to tell a repeat from another request.
-        base: Number of messages kept of the conversation so far.
-        messages: JSON of each message the turn added, without the answer.
-        answer: JSON of the answer's message.
-        finish: Why the answer ended.
-        model: Model that answered.
+        digest: Digest of the request, to distinguish a repeat from a different
+            request.
+        base: Number of messages of the previous conversation that remain.
+        messages: JSON of each message that the turn added, except the answer.
+        answer: JSON of the answer message.
+        finish: Finish reason of the answer.
+        model: Model that produced the answer.
         prompt_tokens: Tokens of the whole prompt.
         completion_tokens: Tokens of the answer.
-        spent: Tokens the program had spent after this turn.
-        chain: Digest over this turn and all before it.
+        spent: Tokens that the program had spent after this turn.
+        chain: Digest over this turn and all earlier turns.
     """
 
     program: str
@@ -81,7 +82,7 @@
 
 
 class ActIntended(msgspec.Struct, tag=5, frozen=True):
-    """A non-idempotent call may be sent from now on."""
+    """Intent to send a non-idempotent call; committed before it is sent."""
 
     program: str
     key: str
@@ -92,7 +93,7 @@
 class ActSettled(msgspec.Struct, tag=6, frozen=True):
     """The outcome of a non-idempotent call.
 
-    ``ran`` is ``yes`` with the service's answer, or ``unknown`` without one.
+    ``ran`` is ``yes`` with the service's response, or ``unknown`` without one.
     """
 
     program: str
@@ -104,39 +105,40 @@
 
 
 class ActWithdrawn(msgspec.Struct, tag=7, frozen=True):
-    """A non-idempotent call that was intended was provably never sent."""
+    """An intended non-idempotent call provably was not sent."""
 
     program: str
     key: str
 
 
 class ProgramEnded(msgspec.Struct, tag=8, frozen=True):
-    """The program takes no more calls; its parent gets back what is left."""
+    """The program takes no more calls; its parent gets the unspent tokens."""
 
     program: str
     ended: float
 
 
 class BudgetSpent(msgspec.Struct, tag=9, frozen=True):
-    """Tokens that an attempt without an answer may have cost."""
+    """Tokens that an attempt without an answer may have used."""
 
     program: str
     tokens: int
 
 
 class ProgramRestored(msgspec.Struct, tag=10, frozen=True):
-    """A program as it stood when the log was compacted.
+    """State of a program when the log was compacted.
 
-    Its acts follow as records of their own. Whatever stood in the log about
-    the program before this record is contained in it.
+    Its acts follow as separate records. This record includes the effect of all
+    earlier records of the program.
 
     Attributes:
-        made: The record that made it.
+        made: Record that created the program.
         spent: Tokens spent.
-        reserved: Tokens reserved, or that may have been.
-        ended: Seconds since the epoch, or None.
-        turns: All kept turns. What a turn says was spent may be more than is
-            spent now, since a sub-agent that ended has given back.
+        reserved: Tokens that are reserved, or may be if a reservation whose
+            outcome is unknown was committed.
+        ended: Unix time in seconds at which the program ended, or None.
+        turns: All kept turns. ``TurnKept.spent`` may exceed ``spent``, since a
+            sub-agent that ended returned its unspent tokens.
     """
 
     made: ProgramCreated
@@ -169,9 +171,9 @@
     """Records committed together in one value of the key-value service.
 
     Attributes:
-        id: Unique, so that a write whose answer was lost is recognised.
+        id: Unique id, to recognise a write whose response was lost.
         epoch: Epoch of the owner that wrote it.
-        records: In order.
+        records: Records in the order in which they apply.
     """
 
     id: str
@@ -182,15 +184,15 @@
 class Piece(msgspec.Struct, tag="piece", frozen=True):
     """Part of a segment that is too large for one value.
 
-    A segment counts only when all its pieces stand in slots that follow each
-    other; one whose writer died between them was never told as kept.
+    A segment is valid only if all its pieces are in consecutive slots. If the
+    writer died between them, the segment was never reported as committed.
 
     Attributes:
-        id: Unique id of the whole segment, the same in each piece.
+        id: Id of the whole segment, the same in each piece.
         epoch: Epoch of the owner that wrote it.
-        index: Number of the piece, from 0.
+        index: Index of the piece, from 0.
         count: Number of pieces.
-        data: Part of the segment's bytes.
+        data: This piece's part of the encoded segment.
     """
 
     id: str
@@ -206,41 +208,40 @@
 
 
 def encode_segment(segment: Segment) -> bytes:
-    """Returns the bytes of a segment."""
+    """Encodes a segment as msgpack."""
     return _ENCODER.encode(segment)
 
 
 def decode_segment(data: bytes) -> Segment:
-    """Returns the segment.
+    """Decodes a segment.
 
     Raises:
-        msgspec.DecodeError: The bytes are not a segment.
+        msgspec.DecodeError: The data is not a segment.
     """
     return _DECODER.decode(data)
 
 
 def decode_value(data: bytes) -> Segment | Piece:
-    """Returns what one slot of a log holds.
+    """Decodes the value of one log slot.
 
     Raises:
-        msgspec.DecodeError: The bytes are neither.
+        msgspec.DecodeError: The data is neither a segment nor a piece.
     """
     return _VALUE_DECODER.decode(data)
 
 
-def encode_values(segment: Segment, most_bytes: int) -> list[bytes]:
-    """Returns a segment as values of the key-value service, one a slot.
+def encode_values(segment: Segment, max_bytes: int) -> list[bytes]:
+    """Encodes a segment as values for consecutive log slots.
 
     Args:
-        segment: What to write.
-        most_bytes: Longest value, apart from what frames a piece.
+        segment: Segment to encode.
+        max_bytes: Maximum length of a value in bytes, without the framing of
+            a piece.
     """
     data = encode_segment(segment)
-    if len(data) <= most_bytes:
+    if len(data) <= max_bytes:
         return [data]
-    parts = [
-        data[at : at + most_bytes] for at in range(0, len(data), most_bytes)
-    ]
+    parts = [data[at : at + max_bytes] for at in range(0, len(data), max_bytes)]
     return [
         _ENCODER.encode(
             Piece(segment.id, segment.epoch, index, len(parts), part)
--- a/libs/programs/src/rattanmill_programs/recovery.py
+++ b/libs/programs/src/rattanmill_programs/recovery.py
@@ -1,8 +1,8 @@
 """Rebuilds a shard's programs from its log, and opens an epoch in it.
 
-Slots of a log follow each other without a gap, from the slot that the log's
-start names. They are read in pages of ten, by the digits their keys share, so
-that no answer carries more than ten values however long the log is.
+The slots of a log are consecutive, from the first slot given by the log's start
+(``LogStart``). They are read in pages of ten by their common key prefix, so
+that no response has more than ten values, however long the log is.
 """
 
 import msgspec
@@ -34,25 +34,25 @@
 
 
 class Fenced(msgspec.Struct, frozen=True):
-    """Another instance owns the shard; the records are not kept."""
+    """Another instance owns the shard; the records are not committed."""
 
 
 class Broken(msgspec.Struct, frozen=True):
-    """The log holds what no owner can have written."""
+    """The log has content that no owner can have written."""
 
     why: str
 
 
 class LogStart(msgspec.Struct, frozen=True):
-    """Where the replay of a log begins.
+    """Position at which the replay of a log begins.
 
     Attributes:
-        first: First slot to be read.
-        last: Slot in which the snapshot ends that begins at ``first``; up to
-            it, records of programs not restored yet are passed over.
-        size: Bytes of the snapshot.
-        floor: Lowest slot that may not be deleted yet.
-        id: Unique, so that a write whose answer was lost is recognised.
+        first: First slot to read.
+        last: Last slot of the snapshot that begins at ``first``. Up to it,
+            records of programs that are not restored yet are skipped.
+        size: Size of the snapshot in bytes.
+        floor: Lowest slot that may still exist, at which deletion begins.
+        id: Unique id, to recognise a write whose response was lost.
     """
 
     first: int = 0
@@ -63,13 +63,13 @@
 
 
 class Recovered(msgspec.Struct, frozen=True):
-    """A shard's programs and where its log stands.
+    """Programs of a shard, and the position in its log.
 
     Attributes:
         programs: Programs by id.
-        next_slot: The slot after the last segment.
+        next_slot: Slot after the last segment.
         size: Bytes of the segments that were read.
-        start: Where the log begins.
+        start: Start of the log.
         start_revision: Revision of ``start`` in the key-value service.
     """
 
@@ -81,29 +81,30 @@
 
 
 def log_prefix(domain: str, shard: int) -> str:
-    """Prefix of the keys of a shard's segments."""
+    """Returns the key prefix of a shard's log slots."""
     return f"rm/log/{domain}/{shard}/"
 
 
 def slot_key(domain: str, shard: int, slot: int) -> str:
-    """Key of one segment; sorts by slot."""
+    """Returns the key of a log slot; keys sort by slot number."""
     return f"{log_prefix(domain, shard)}{slot:0{_SLOT_DIGITS}d}"
 
 
 def start_key(domain: str, shard: int) -> str:
-    """Key of a log's start."""
+    """Returns the key of a log's start."""
     return f"rm/start/{domain}/{shard}"
 
 
 class Replay:
     """Applies the values of a log in the order of their slots.
 
-    A segment whose epoch is lower than one before it was written by an owner
-    that had been replaced already; nobody was told that it was kept.
+    A segment whose epoch is lower than that of an earlier one was written by an
+    owner that had already been replaced. It is skipped, as it was never
+    reported as committed.
 
     Args:
-        epoch: Epoch of the reader.
-        start: Where the log begins.
+        epoch: Epoch of the new owner.
+        start: Start of the log.
     """
 
     def __init__(self, epoch: int, start: LogStart) -> None:
@@ -111,16 +112,19 @@
         self.start = start
         self.slot = start.first
         self.programs: dict[str, Program] = {}
-        self.highest = 0
+        self.highest_epoch = 0
         self.size = 0
         self.pieces: list[Piece] = []
 
-    def take(self, value: bytes) -> Fenced | None:
+    def apply_value(self, value: bytes) -> Fenced | None:
         """Applies the value of the next slot.
 
+        Returns:
+            ``Fenced`` if the value has a higher epoch than the new owner.
+
         Raises:
-            msgspec.DecodeError: The value is no segment.
-            InvariantError: Its records do not follow from those before.
+            msgspec.DecodeError: The value is neither a segment nor a piece.
+            InvariantError: Its records are inconsistent with earlier ones.
         """
         slot = self.slot
         self.slot += 1
@@ -128,14 +132,14 @@
         found = decode_value(value)
         if found.epoch > self.epoch:
             return Fenced()
-        if found.epoch < self.highest:
+        if found.epoch < self.highest_epoch:
             return None
-        self.highest = found.epoch
+        self.highest_epoch = found.epoch
         segment = self._join(found) if isinstance(found, Piece) else found
         if isinstance(found, Segment):
             self.pieces.clear()
         for record in segment.records if segment else ():
-            if not self._is_passed_over(record, slot):
+            if not self._is_skipped(record, slot):
                 apply(self.programs, record)
         return None
 
@@ -154,8 +158,8 @@
         self.pieces.clear()
         return decode_segment(data)
 
-    def _is_passed_over(self, record: Record, slot: int) -> bool:
-        """Whether a record's program is restored further on."""
+    def _is_skipped(self, record: Record, slot: int) -> bool:
+        """Whether a record's program is only restored later in the snapshot."""
         if isinstance(record, EpochOpened | ProgramCreated | ProgramRestored):
             return False
         known = record.program in self.programs
@@ -167,7 +171,7 @@
 ) -> Recovered | Unavailable | Fenced | Broken:
     """Opens an epoch and rebuilds the shard's programs from its log.
 
-    Nothing is written if the log already has a higher epoch.
+    Nothing is written if the log already has a higher epoch or is broken.
     """
     try:
         return await _recover(kv, domain, shard, epoch, owner)
@@ -187,7 +191,7 @@
         revision = found.entry.revision
     replay = Replay(epoch, start)
     stopped = await _read_pages(kv, domain, shard, replay)
-    stopped = stopped or await _open(kv, domain, shard, replay, owner)
+    stopped = stopped or await _open_epoch(kv, domain, shard, replay, owner)
     if stopped:
         return stopped
     return Recovered(replay.programs, replay.slot, replay.size, start, revision)
@@ -204,7 +208,7 @@
         values = {entry.key: entry.value for entry in listed.entries}
         while slot_key(domain, shard, replay.slot) in values:
             key = slot_key(domain, shard, replay.slot)
-            if fenced := replay.take(values[key]):
+            if fenced := replay.apply_value(values[key]):
                 return fenced
             if replay.slot % _PAGE_SLOTS == 0:
                 break
@@ -212,10 +216,10 @@
             return None
 
 
-async def _open(
+async def _open_epoch(
     kv: KvClient, domain: str, shard: int, replay: Replay, owner: str
 ) -> Unavailable | Fenced | None:
-    """Writes our epoch into the first free slot, reading what is before it."""
+    """Opens the epoch in the first free slot; applies slots before it."""
     opening = Segment(
         new_id(), replay.epoch, [EpochOpened(replay.epoch, owner)]
     )
@@ -226,13 +230,13 @@
         if isinstance(outcome, Unavailable):
             return outcome
         if isinstance(outcome, Written):
-            return replay.take(value)
+            return replay.apply_value(value)
         assert isinstance(outcome, Conflict)
         found = await kv.read(key)
         if isinstance(found, Unavailable):
             return found
         if isinstance(found, Missing):
-            # Compacted away by a newer owner since.
+            # A newer owner has compacted the log and deleted the slot.
             return Fenced()
-        if fenced := replay.take(found.entry.value):
+        if fenced := replay.apply_value(found.entry.value):
             return fenced
--- a/libs/programs/src/rattanmill_programs/shard.py
+++ b/libs/programs/src/rattanmill_programs/shard.py
@@ -1,14 +1,14 @@
-"""A shard this instance owns: its programs and its log."""
+"""A shard owned by this instance: its programs and its log."""
 
 import asyncio
 import contextlib
 from collections.abc import Iterator
 
 from rattanmill_programs.program import (
-    LOOSE_TOKEN,
+    STANDALONE_TOKEN,
     Program,
     apply,
-    loose_program,
+    standalone_program,
 )
 from rattanmill_programs.records import BudgetReserved, Record
 from rattanmill_programs.recovery import Fenced
@@ -16,15 +16,16 @@
 
 
 class Shard:
-    """Programs of one shard, changed only through the log.
+    """Programs of one shard, modified only by records of its log.
 
     Attributes:
         domain: Failure domain.
         number: Shard number.
-        epoch: Fencing number of this ownership.
+        epoch: Fencing token of this ownership.
         programs: Programs by id.
         log: The shard's log.
-        active: Calls under way.
+        active: Number of calls in progress.
+        no_active_calls: Set while no call is in progress.
     """
 
     def __init__(
@@ -41,43 +42,50 @@
         self.programs = programs
         self.log = log
         self.active = 0
-        self.quiet = asyncio.Event()
-        self.quiet.set()
+        self.no_active_calls = asyncio.Event()
+        self.no_active_calls.set()
 
     @property
-    def loose_acts(self) -> Program:
-        """Holder of the acts that belong to no program."""
-        name = f"{self.domain}.{self.number}.{LOOSE_TOKEN}"
+    def standalone_acts(self) -> Program:
+        """Pseudo-program that holds the acts that belong to no program."""
+        name = f"{self.domain}.{self.number}.{STANDALONE_TOKEN}"
         if name not in self.programs:
-            self.programs[name] = loose_program(name)
+            self.programs[name] = standalone_program(name)
         return self.programs[name]
 
     @contextlib.contextmanager
-    def busy(self) -> Iterator[None]:
-        """Marks that a call of this shard is under way."""
+    def track_call(self) -> Iterator[None]:
+        """Counts a call of this shard as in progress within the context."""
         self.active += 1
-        self.quiet.clear()
+        self.no_active_calls.clear()
         try:
             yield
         finally:
             self.active -= 1
             if not self.active:
-                self.quiet.set()
+                self.no_active_calls.set()
 
     async def drain(self, seconds: float) -> bool:
-        """Waits until no call of this shard is under way; False if too long."""
+        """Waits until no call is in progress.
+
+        Args:
+            seconds: Timeout.
+
+        Returns:
+            False if calls were still in progress at the timeout.
+        """
         try:
-            await asyncio.wait_for(self.quiet.wait(), seconds)
+            await asyncio.wait_for(self.no_active_calls.wait(), seconds)
         except TimeoutError:
             return False
         return True
 
     async def keep(self, *records: Record) -> Appended:
-        """Applies records to memory and commits them.
+        """Applies records in memory, then appends them to the log.
 
-        They are applied first, so that the next turn builds on them while the
-        service is away; if the shard turns out to be fenced, its memory is
-        dropped as a whole.
+        They are applied first, so that the next turn can build on them while
+        the key-value service is unavailable. If the shard turns out to be
+        fenced, all its in-memory state is dropped.
         """
         if self.log.fenced:
             return Fenced()
@@ -86,17 +94,19 @@
         return await self.log.append(*records)
 
     async def commit(self, *records: Record) -> Appended:
-        """Commits records and applies them only once they are committed.
+        """Appends records to the log and applies them only once committed.
 
-        For what must not be acted on while it may still be lost, such as a
-        reservation. The log goes on trying after ``Deferred``; its taking
-        effect later only makes the next owner more careful. Until it is
-        known, what was to be reserved counts as promised.
+        For records that must not take effect while they may still be lost,
+        such as a reservation. The log keeps retrying after ``Deferred``; a
+        late commit only makes the next owner count more tokens as spent. Until
+        the outcome is known, the tokens count as ``pending_reserved``.
         """
         for record in records:
             if isinstance(record, BudgetReserved):
                 program = self.programs[record.program]
-                program.promised = max(program.promised, record.tokens)
+                program.pending_reserved = max(
+                    program.pending_reserved, record.tokens
+                )
         appended = await self.log.append(*records)
         if isinstance(appended, Committed):
             for record in records:
--- a/libs/programs/src/rattanmill_programs/shardlog.py
+++ b/libs/programs/src/rattanmill_programs/shardlog.py
@@ -1,10 +1,11 @@
 """The log of one shard in the key-value service, with group commit.
 
-Segment ``n`` is one key, created but never replaced. A new owner first writes
-a segment of its own, ``EpochOpened``, into the next free slot. If the owner
-before it is still alive and tries to write that slot later, it finds it taken
-and knows that it was fenced off; if its write came first, the new owner finds
-that and reads it. So no turn is committed that the new owner does not see.
+Each slot of the log is one key, created once and never overwritten. A new owner
+first writes a segment with ``EpochOpened`` into the next free slot. If the
+previous owner is still alive and tries to write that slot later, the write
+conflicts and it learns that it is fenced. If its write came first, the new
+owner gets the conflict and reads that segment. So the new owner sees every
+committed turn.
 """
 
 import asyncio
@@ -31,19 +32,19 @@
 
 _log = part_logger("log")
 _SEGMENT_BYTES = 900_000
-# What waits for a service that is away is held in memory.
-_MOST_PENDING_BYTES = 32_000_000
-_COMMIT_SECONDS = 1.0
-_RETRY_SECONDS = 0.1
-_DOUBT_SECONDS = 0.05
+# Pending records are held in memory while the key-value service is unavailable.
+_MAX_PENDING_BYTES = 32_000_000
+_COMMIT_TIMEOUT_SECONDS = 1.0
+_RETRY_DELAY_SECONDS = 0.1
+_OWNERSHIP_POLL_SECONDS = 0.05
 
 
 class Committed(msgspec.Struct, frozen=True):
-    """The records are in the key-value service."""
+    """The records are stored in the key-value service."""
 
 
 class Deferred(msgspec.Struct, frozen=True):
-    """The service does not answer; the log goes on trying."""
+    """The key-value service does not respond; the log keeps retrying."""
 
 
 Appended = Committed | Deferred | Fenced
@@ -56,20 +57,21 @@
 
 
 class ShardLog:
-    """Appends records to a shard's log, many appends to one write.
+    """Appends records to a shard's log; batches appends into one write.
 
     Attributes:
-        fenced: Whether another owner was found, or the log was stopped.
-        size: Bytes in the log from its start on.
+        fenced: Whether a newer owner was found, or the log was stopped.
+        size: Bytes in the log since its start.
 
     Args:
         kv: Client of the key-value service.
         domain: Failure domain of the shard.
         shard: Shard number.
         epoch: Epoch of this owner.
-        recovered: Where the log stands.
-        on_fenced: Called once when another owner is found.
-        is_sure: Whether this instance has owned the shard without a break.
+        recovered: Result of the recovery; gives the position in the log.
+        on_fenced: Called once when a newer owner is found.
+        is_ownership_certain: Returns whether this instance has owned the shard
+            without interruption.
     """
 
     def __init__(
@@ -80,7 +82,7 @@
         epoch: int,
         recovered: Recovered,
         on_fenced: Callable[[], None],
-        is_sure: Callable[[], bool] = lambda: True,
+        is_ownership_certain: Callable[[], bool] = lambda: True,
     ) -> None:
         self.kv = kv
         self.domain = domain
@@ -91,7 +93,7 @@
         self.next_slot = recovered.next_slot
         self.size = recovered.size
         self.on_fenced = on_fenced
-        self.is_sure = is_sure
+        self.is_ownership_certain = is_ownership_certain
         self.pending: list[_Batch] = []
         self.pending_bytes = 0
         self.writing: list[_Batch] = []
@@ -99,10 +101,14 @@
         self.idle = asyncio.Event()
         self.idle.set()
         self.fenced = False
-        self.task = asyncio.create_task(self._write_for_ever())
+        self.task = asyncio.create_task(self._write_forever())
 
     def enqueue(self, *records: Record) -> asyncio.Future:
-        """Queues records; the future is done when their fate is known."""
+        """Queues records.
+
+        Returns:
+            Future of the outcome, ``Committed`` or ``Fenced``.
+        """
         done = asyncio.get_running_loop().create_future()
         if self.fenced:
             done.set_result(Fenced())
@@ -116,19 +122,30 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether too much waits already; callers must not add to it."""
-        return self.pending_bytes > _MOST_PENDING_BYTES
+        """Whether the queue is over its limit; callers must not add to it."""
+        return self.pending_bytes > _MAX_PENDING_BYTES
 
     async def append(self, *records: Record) -> Appended:
-        """Queues records and waits for their commit for a short while."""
+        """Queues records and waits for their commit up to a timeout.
+
+        Returns:
+            ``Deferred`` if the outcome is still unknown at the timeout.
+        """
         done = self.enqueue(*records)
-        # While the service is known to be away, waiting helps nobody.
-        wait = 0.0 if self.kv.breaker.is_open() else _COMMIT_SECONDS
+        # Do not wait while the service is known to be unavailable.
+        wait = 0.0 if self.kv.breaker.is_open() else _COMMIT_TIMEOUT_SECONDS
         finished, _ = await asyncio.wait([done], timeout=wait)
         return done.result() if finished else Deferred()
 
     async def flush(self, seconds: float) -> bool:
-        """Waits until all is written; False if it is not by then."""
+        """Waits until all queued records are written.
+
+        Args:
+            seconds: Timeout.
+
+        Returns:
+            False if the timeout passed first or the log is fenced.
+        """
         try:
             await asyncio.wait_for(self.idle.wait(), seconds)
         except TimeoutError:
@@ -136,16 +153,16 @@
         return not self.fenced
 
     def stop(self) -> None:
-        """Ends the log; whoever still appends finds it fenced.
+        """Stops the log; later appends return ``Fenced``.
 
-        Without that, a turn that ends after its shard was lost would wait
-        for a commit that never comes, be told that it is merely late, and
-        its caller would get a receipt from an instance that owns nothing.
+        Otherwise a turn that ends after its shard was lost would wait for a
+        commit that never happens and get ``Deferred``, and its caller would
+        get a receipt from an instance that no longer owns the shard.
         """
         self.task.cancel()
         self._end()
 
-    async def _write_for_ever(self) -> None:
+    async def _write_forever(self) -> None:
         while not self.fenced:
             await self.wake.wait()
             self.wake.clear()
@@ -173,50 +190,52 @@
         for value in encode_values(segment, _SEGMENT_BYTES):
             if not await self._fill_slot(value, batches):
                 return
-        await self._until_sure()
+        await self._wait_for_ownership()
         for batch in batches:
             self.pending_bytes -= batch.size
             if not batch.done.done():
                 batch.done.set_result(Committed())
 
     async def _fill_slot(self, value: bytes, batches: list[_Batch]) -> bool:
-        """Writes the next slot; False if somebody else's value is there."""
+        """Writes the next slot; returns False on a conflict."""
         key = slot_key(self.domain, self.shard, self.next_slot)
         while True:
             outcome = await self.kv.create_unique(key, value)
             if not isinstance(outcome, Unavailable):
                 break
-            pause = random.uniform(_RETRY_SECONDS / 2, _RETRY_SECONDS)
+            pause = random.uniform(
+                _RETRY_DELAY_SECONDS / 2, _RETRY_DELAY_SECONDS
+            )
             await asyncio.sleep(pause)
         self.next_slot += 1
         if isinstance(outcome, Conflict):
-            await self._meet_conflict(key, batches)
+            await self._resolve_conflict(key, batches)
             return False
         self.size += len(value)
         return True
 
-    async def _until_sure(self) -> None:
-        """Waits until it is certain that the slot was ours to fill.
+    async def _wait_for_ownership(self) -> None:
+        """Waits until it is certain that this instance owned the slot it wrote.
 
-        After a pause the shard may have had another owner, who compacted the
-        log: the slot that we were about to write was deleted, and our write
-        succeeds although nobody will ever read it.
+        After a pause of this process, another owner may have compacted the log
+        and deleted the slot that was to be written next. The write then
+        succeeds, although the slot is never read.
         """
-        while not self.is_sure() and not self.fenced:  # noqa: ASYNC110
-            await asyncio.sleep(_DOUBT_SECONDS)
+        while not self.is_ownership_certain() and not self.fenced:  # noqa: ASYNC110
+            await asyncio.sleep(_OWNERSHIP_POLL_SECONDS)
 
-    async def _meet_conflict(self, key: str, batches: list[_Batch]) -> None:
-        """Stops for a newer owner, and passes over an older one's segment.
+    async def _resolve_conflict(self, key: str, batches: list[_Batch]) -> None:
+        """Fences the log for a newer owner; skips a segment of an older one.
 
-        An instance that was paused while it took the shard over may write its
-        opening after ours. Taking that for a newer owner would leave the
-        shard with none.
+        An instance that was paused while it took over the shard may write its
+        ``EpochOpened`` after that of this owner. Treating it as a newer owner
+        would leave the shard without an owner.
         """
         while True:
             found = await self.kv.read(key)
             if not isinstance(found, Unavailable):
                 break
-            await asyncio.sleep(_RETRY_SECONDS)
+            await asyncio.sleep(_RETRY_DELAY_SECONDS)
         if isinstance(found, Missing) or _epoch(found) > self.epoch:
             self._end()
             _log.warning("Shard {}.{} has another owner.", *self.name)
--- a/tests/features/steps/compaction.py
+++ b/tests/features/steps/compaction.py
@@ -63,7 +63,7 @@
 
 def next_turn(program, text="x"):
     turn = TurnKept(
-        program.made.program,
+        program.creation.program,
         len(program.turns) + 1,
         b"digest",
         len(program.transcript),
@@ -111,7 +111,7 @@
     """Returns what the next owner must find of a shard's programs."""
     return {
         name: (
-            program.made,
+            program.creation,
             max(program.spent, program.reserved),
             program.reserved,
             [turn.record for turn in program.turns],
