--- a/libs/programs/src/rattanmill_programs/shardlog.py
+++ b/libs/programs/src/rattanmill_programs/shardlog.py
@@ -190,7 +190,7 @@
         for value in encode_values(segment, _SEGMENT_BYTES):
             if not await self._fill_slot(value, batches):
                 return
-        await self._wait_for_ownership()
+        await self._wait_until_ownership_certain()
         for batch in batches:
             self.pending_bytes -= batch.size
             if not batch.done.done():
@@ -214,7 +214,7 @@
         self.size += len(value)
         return True
 
-    async def _wait_for_ownership(self) -> None:
+    async def _wait_until_ownership_certain(self) -> None:
         """Waits until it is certain that this instance owned the slot it wrote.
 
         After a pause of this process, another owner may have compacted the log
--- a/tests/features/steps/compaction.py
+++ b/tests/features/steps/compaction.py
@@ -1,4 +1,4 @@
-"""Steps about a shard's log, run in this process on a log in memory."""
+"""Steps about a shard's log, run in this process on an in-memory store."""
 
 import asyncio
 import copy
@@ -47,15 +47,17 @@
 )
 
 
-async def own(kv, epoch, is_sure=lambda: True):
-    """Returns the shard as a new owner finds it."""
+async def recover_shard(kv, epoch, is_ownership_certain=lambda: True):
+    """Returns the shard as recovered by a new owner."""
     recovered = await recover(kv, "east", 0, epoch, f"owner-{epoch}")
     assert isinstance(recovered, Recovered), recovered
-    log = ShardLog(kv, "east", 0, epoch, recovered, lambda: None, is_sure)
+    log = ShardLog(
+        kv, "east", 0, epoch, recovered, lambda: None, is_ownership_certain
+    )
     return Shard("east", 0, epoch, recovered.programs, log)
 
 
-def created(name, parent=""):
+def program_created(name, parent=""):
     return ProgramCreated(
         name, "default", "leith", 10_000, 99, 9e9, 1.0, parent
     )
@@ -82,11 +84,11 @@
     )
 
 
-async def operate(shard, operation, name, number):
-    """Does one thing to a program, as the daemon would."""
+async def run_operation(shard, operation, name, number):
+    """Runs one operation on a program, as the daemon would."""
     program = shard.programs.get(name)
     if program is None:
-        await shard.keep(created(name))
+        await shard.keep(program_created(name))
         return
     if program.ended is not None:
         return
@@ -94,21 +96,21 @@
         case "turn":
             await shard.keep(next_turn(program))
         case "reserve":
-            most = program.spent + 50
-            await shard.commit(BudgetReserved(name, most))
+            max_tokens = program.spent + 50
+            await shard.commit(BudgetReserved(name, max_tokens))
         case "act":
             key = f"key-{number}"
             await shard.keep(ActIntended(name, key, b"body", shard.epoch))
             if number % 2:
                 await shard.keep(ActSettled(name, key, Ran.YES, 200, [], b"ok"))
         case "child":
-            await shard.keep(created(f"{name}{number}", name))
+            await shard.keep(program_created(f"{name}{number}", name))
         case "end":
             await shard.keep(ProgramEnded(name, 5.0))
 
 
-def picture(shard):
-    """Returns what the next owner must find of a shard's programs."""
+def program_states(shard):
+    """Returns what the next owner must recover of a shard's programs."""
     return {
         name: (
             program.creation,
@@ -123,18 +125,18 @@
     }
 
 
-async def build(operations):
+async def build_shard(operations):
     kv = MemoryKv()
-    shard = await own(kv, 1)
+    shard = await recover_shard(kv, 1)
     for name in _NAMES:
-        await shard.keep(created(name))
+        await shard.keep(program_created(name))
     for number, (operation, name) in enumerate(operations):
-        await operate(shard, operation, name, number)
+        await run_operation(shard, operation, name, number)
     return kv, shard
 
 
-def dies_at(call, after):
-    """Returns a fault that ends the process at a call."""
+def crash_at(call, after):
+    """Returns a fault that simulates a crash before or after a call."""
 
     def fault(number, done):
         if (number == call and done is after) or number > call:
@@ -144,14 +146,14 @@
 
 
 async def crash_in_compaction(operations, call, after):
-    """Returns whether the compaction got as far as ``call``."""
-    kv, shard = await build(operations)
-    # A compaction before makes the log's start more than the beginning.
+    """Crashes in a compaction; returns whether it reached ``call``."""
+    kv, shard = await build_shard(operations)
+    # An earlier compaction moves the log's start past slot 0.
     assert await compact(shard, 0.0)
     await shard.keep(next_turn(shard.programs["a"]))
-    expected = picture(shard)
-    begun = kv.calls
-    kv.fault = dies_at(begun + call, after)
+    expected = program_states(shard)
+    calls_before = kv.calls
+    kv.fault = crash_at(calls_before + call, after)
     task = asyncio.create_task(compact(shard, 0.0))
     await asyncio.wait([task, shard.log.task], return_when="FIRST_COMPLETED")
     reached = not task.done() or task.exception() is not None
@@ -159,27 +161,27 @@
     shard.log.task.cancel()
     await asyncio.gather(task, shard.log.task, return_exceptions=True)
     kv.fault = lambda number, done: None
-    found = await own(kv, 2)
-    assert picture(found) == expected
-    # The next owner's own compaction makes up for what was left.
+    found = await recover_shard(kv, 2)
+    assert program_states(found) == expected
+    # The next owner's compaction deletes the slots that remained.
     assert await compact(found, 0.0)
-    left = [key for key in kv.items if key.startswith("rm/log/")]
+    remaining = [key for key in kv.items if key.startswith("rm/log/")]
     first = found.log.start.first
-    assert min(left) == slot_key("east", 0, first), (left[:3], first)
-    again = await own(kv, 3)
-    assert picture(again) == expected
+    assert min(remaining) == slot_key("east", 0, first), (remaining[:3], first)
+    latest = await recover_shard(kv, 3)
+    assert program_states(latest) == expected
     found.log.stop()
-    again.log.stop()
+    latest.log.stop()
     return reached
 
 
-@given("a shard whose programs did what hypothesis thought of")
+@given("a shard whose programs ran operations generated by hypothesis")
 def step_hypothesis(context):
     context.operations = _OPERATIONS
 
 
 @when("its owner dies before or after any call of a compaction")
-def step_crash_anywhere(context):
+def step_crash_at_each_call(context):
     context.steps = 0
 
     @_SETTINGS
@@ -197,14 +199,18 @@
     run()
 
 
-@then("each next owner finds all that was kept")
-def step_found_all(context):
+@then("each next owner recovers all that was kept")
+def step_recovered_all(context):
     assert context.steps > 50, context.steps
 
 
 async def turns_in_compaction(operations, call):
-    """Keeps a turn and a reservation before each call of a compaction."""
-    kv, shard = await build(operations)
+    """Keeps turns and reservations during a compaction that crashes.
+
+    Returns:
+        Whether the compaction reached ``call``.
+    """
+    kv, shard = await build_shard(operations)
     kept = dict.fromkeys(shard.programs, 0)
     reserved = dict.fromkeys(shard.programs, 0)
 
@@ -212,26 +218,28 @@
         for name in itertools.cycle(_NAMES):
             program = shard.programs[name]
             if program.ended is None:
-                most = program.spent + 100
-                record = BudgetReserved(name, most)
+                max_tokens = program.spent + 100
+                record = BudgetReserved(name, max_tokens)
                 if isinstance(await shard.commit(record), Committed):
-                    reserved[name] = most
+                    reserved[name] = max_tokens
                 turn = next_turn(program)
                 if isinstance(await shard.keep(turn), Committed):
                     kept[name] = turn.turn
             await asyncio.sleep(0)
 
-    kv.fault = dies_at(kv.calls + call, True)
+    kv.fault = crash_at(kv.calls + call, True)
     turns = asyncio.create_task(keep_turns())
     task = asyncio.create_task(compact(shard, 0.0))
     await asyncio.wait([task, shard.log.task], return_when="FIRST_COMPLETED")
     reached = not task.done() or task.exception() is not None
     for ended in (task, turns, shard.log.task):
         ended.cancel()
-    live = picture(shard)
+    live = program_states(shard)
     kv.fault = lambda number, done: None
-    found = await own(kv, 2)
-    for name, (_, spent, _reserved, history, *_rest) in picture(found).items():
+    found = await recover_shard(kv, 2)
+    for name, (_, spent, _reserved, history, *_rest) in program_states(
+        found
+    ).items():
         assert len(history) >= kept[name], (name, kept)
         assert history == live[name][3][: len(history)], name
         assert spent >= reserved[name], (name, spent, reserved)
@@ -258,157 +266,157 @@
 def step_segments(context, count):
     async def fill():
         kv = MemoryKv()
-        shard = await own(kv, 1)
-        await shard.keep(created("a"))
+        shard = await recover_shard(kv, 1)
+        await shard.keep(program_created("a"))
         while shard.log.next_slot < count:
             await shard.keep(next_turn(shard.programs["a"]))
         shard.log.stop()
-        return kv, picture(shard)
+        return kv, program_states(shard)
 
     context.kv, context.expected = asyncio.run(fill())
 
 
-@then("a new owner finds them, reading at most {count:d} values at once")
-def step_paged(context, count):
+@then("a new owner recovers them, reading at most {count:d} values at once")
+def step_read_pages(context, count):
     context.kv.largest_range = 0
     context.calls_before = context.kv.calls
     context.slots = len(context.kv.items)
 
     async def read():
-        shard = await own(context.kv, 2)
+        shard = await recover_shard(context.kv, 2)
         shard.log.stop()
-        return picture(shard)
+        return program_states(shard)
 
     assert asyncio.run(read()) == context.expected
     assert context.kv.largest_range <= count, context.kv.largest_range
 
 
 @then("it reads no slot twice")
-def step_once(context):
+def step_read_once(context):
     pages = -(-context.slots // 10)
-    # The start, the pages, and the write that opens the epoch.
+    # The read of the start, the pages, and the write that opens the epoch.
     calls = context.kv.calls - context.calls_before
     assert calls <= pages + 3, (calls, pages)
 
 
-@when("its owner is paused, a new owner compacts the log, and it goes on")
+@when("its owner is paused, a new owner compacts the log, and it resumes")
 def step_paused_owner(context):
-    sure = True
+    certain = True
 
     async def run():
-        nonlocal sure
-        old = await own(context.kv, 2, lambda: sure)
-        sure = False
-        new = await own(context.kv, 3)
+        nonlocal certain
+        old = await recover_shard(context.kv, 2, lambda: certain)
+        certain = False
+        new = await recover_shard(context.kv, 3)
         assert await compact(new, 0.0)
         assert new.log.start.first > old.log.next_slot
-        context.old_fate = await old.keep(next_turn(old.programs["a"]))
+        context.old_outcome = await old.keep(next_turn(old.programs["a"]))
         old.log.stop()
         new.log.stop()
-        again = await own(context.kv, 4)
-        context.turns_found = len(again.programs["a"].turns)
+        latest = await recover_shard(context.kv, 4)
+        context.turns_found = len(latest.programs["a"].turns)
         context.turns_old = len(old.programs["a"].turns)
-        again.log.stop()
+        latest.log.stop()
 
     asyncio.run(run())
 
 
-@then("the old owner's turn is not told as kept")
+@then("the old owner's turn is not reported as kept")
 def step_not_kept(context):
     assert context.turns_found == context.turns_old - 1
-    assert not isinstance(context.old_fate, Committed), context.old_fate
+    assert not isinstance(context.old_outcome, Committed), context.old_outcome
 
 
-@when("its slot is taken and deleted before it can look")
-def step_gone(context):
-    class Kv(MemoryKv):
+@when("its slot is taken and deleted before it can read it")
+def step_slot_deleted(context):
+    class ConflictKv(MemoryKv):
         async def create_unique(self, key, value):
             return Conflict(0)
 
     async def run():
-        old = await own(context.kv, 2)
-        gone = Kv()
-        gone.items = copy.copy(context.kv.items)
-        old.log.kv = gone
-        context.old_fate = await old.keep(next_turn(old.programs["a"]))
+        old = await recover_shard(context.kv, 2)
+        conflicting_kv = ConflictKv()
+        conflicting_kv.items = copy.copy(context.kv.items)
+        old.log.kv = conflicting_kv
+        context.old_outcome = await old.keep(next_turn(old.programs["a"]))
         old.log.stop()
 
     asyncio.run(run())
 
 
-@then("the old owner knows that it was replaced")
-def step_knows(context):
-    assert isinstance(context.old_fate, Fenced), context.old_fate
+@then("the old owner learns that it was replaced")
+def step_learns_replaced(context):
+    assert isinstance(context.old_outcome, Fenced), context.old_outcome
 
 
-class OvertakenKv:
-    """Lets another instance take the shard before a chosen call."""
+class TakeoverKv:
+    """Lets another instance take over the shard before a chosen call."""
 
     def __init__(self, kv, call):
         self.kv = kv
         self.call = call
         self.calls = 0
         self.breaker = kv.breaker
-        self.overtaken = False
+        self.replaced = False
 
     def __getattr__(self, name):
         async def call(*arguments):
             self.calls += 1
             if self.calls == self.call:
-                self.overtaken = True
-                other = await own(self.kv, 3)
-                fate = await other.keep(next_turn(other.programs["a"]))
-                assert isinstance(fate, Committed)
+                self.replaced = True
+                other = await recover_shard(self.kv, 3)
+                outcome = await other.keep(next_turn(other.programs["a"]))
+                assert isinstance(outcome, Committed)
                 other.log.stop()
             return await getattr(self.kv, name)(*arguments)
 
         return call
 
 
-@when("a taker is overtaken before any of its calls")
-def step_overtaken(context):
+@when("a new owner is replaced before any of its calls")
+def step_replaced(context):
     async def run(call):
         kv = MemoryKv()
         kv.items = dict(context.kv.items)
-        slow = OvertakenKv(kv, call)
-        recovered = await recover(slow, "east", 0, 2, "taker")
-        fate = recovered
+        takeover_kv = TakeoverKv(kv, call)
+        recovered = await recover(takeover_kv, "east", 0, 2, "taker")
+        outcome = recovered
         if isinstance(recovered, Recovered):
-            log = ShardLog(slow, "east", 0, 2, recovered, lambda: None)
-            taker = Shard("east", 0, 2, recovered.programs, log)
-            fate = await taker.keep(next_turn(taker.programs["a"]))
+            log = ShardLog(takeover_kv, "east", 0, 2, recovered, lambda: None)
+            new_owner = Shard("east", 0, 2, recovered.programs, log)
+            outcome = await new_owner.keep(next_turn(new_owner.programs["a"]))
             log.stop()
-        if not slow.overtaken:
+        if not takeover_kv.replaced:
             return False
-        again = await own(kv, 4)
-        again.log.stop()
-        context.fates.append((fate, len(again.programs["a"].turns)))
+        latest = await recover_shard(kv, 4)
+        latest.log.stop()
+        context.outcomes.append((outcome, len(latest.programs["a"].turns)))
         return True
 
-    context.fates = []
+    context.outcomes = []
     for call in itertools.count(1):
         if not asyncio.run(run(call)):
             break
 
 
-@then("it keeps nothing, and the other's turn is there")
-def step_overtaken_nothing(context):
+@then("it keeps nothing, and the other owner's turn is recovered")
+def step_replaced_keeps_nothing(context):
     before = len(context.expected["a"][3])
-    assert len(context.fates) > 5, context.fates
-    for fate, turns in context.fates:
-        assert isinstance(fate, Fenced), context.fates
-        assert turns == before + 1, context.fates
+    assert len(context.outcomes) > 5, context.outcomes
+    for outcome, turns in context.outcomes:
+        assert isinstance(outcome, Fenced), context.outcomes
+        assert turns == before + 1, context.outcomes
 
 
-@when("turns of a megabyte are kept while the service is away")
-def step_away(context):
-    class Away(MemoryKv):
+@when("turns of a megabyte are kept while the service is unavailable")
+def step_unavailable(context):
+    class UnavailableKv(MemoryKv):
         async def create_unique(self, key, value):
             return Unavailable("away")
 
     async def run():
-        shard = await own(context.kv, 2)
-        shard.log.kv = Away()
+        shard = await recover_shard(context.kv, 2)
+        shard.log.kv = UnavailableKv()
         megabytes = 0
         while not shard.log.is_full and megabytes < 100:
             turn = next_turn(shard.programs["a"], "x" * 1_000_000)
@@ -420,7 +428,7 @@
     context.megabytes = asyncio.run(run())
 
 
-@then("the log says that it is full before {count:d} megabytes wait")
+@then("the log reports that it is full before {count:d} megabytes wait")
 def step_full(context, count):
     assert 1 < context.megabytes < count, context.megabytes
 
@@ -432,7 +440,7 @@
     context.kv.items[key] = (skipped, context.kv.items[key][1])
 
 
-@then("a new owner is told that the log is broken and writes nothing")
+@then("recovery by a new owner reports a broken log and writes nothing")
 def step_broken(context):
     before = dict(context.kv.items)
     outcome = asyncio.run(recover(context.kv, "east", 0, 2, "owner-2"))
@@ -444,20 +452,20 @@
 def step_ended(context):
     context.kv = MemoryKv()
     context.records = [
-        created("old"),
+        program_created("old"),
         ProgramEnded("old", 5.0),
-        created("recent"),
+        program_created("recent"),
         ProgramEnded("recent", time.time()),
-        created("parent"),
-        created("child", "parent"),
+        program_created("parent"),
+        program_created("child", "parent"),
         ProgramEnded("parent", 5.0),
     ]
 
 
-@when("what ended long ago is dropped and the log compacted")
-def step_drop(context):
+@when("programs that ended long ago are dropped and the log is compacted")
+def step_drop_ended(context):
     async def run():
-        shard = await own(context.kv, 1)
+        shard = await recover_shard(context.kv, 1)
         await shard.keep(*context.records)
         assert drop_ended(shard) == 1
         assert await compact(shard, 0.0)
@@ -466,10 +474,10 @@
     asyncio.run(run())
 
 
-@then("a new owner finds the one just ended, the parent and its sub-agent")
-def step_left(context):
+@then("a new owner recovers the one just ended, the parent and its sub-agent")
+def step_remaining(context):
     async def run():
-        shard = await own(context.kv, 2)
+        shard = await recover_shard(context.kv, 2)
         shard.log.stop()
         return sorted(shard.programs)
 
