--- a/libs/programs/src/rattanmill_programs/compaction.py
+++ b/libs/programs/src/rattanmill_programs/compaction.py
@@ -20,10 +20,10 @@
 from rattanmill_programs.shardlog import Committed
 
 _RETENTION_SECONDS = 3600.0
-_MIN_BYTES = 8_000_000
-_MIN_SLOTS = 2000
+_MIN_GROWTH_BYTES = 8_000_000
+_MAX_SLOTS_SINCE_SNAPSHOT = 2000
 _GROWTH_FACTOR = 2
-_BATCH_BYTES = 500_000
+_SNAPSHOT_SEGMENT_BYTES = 500_000
 # Deletes are spread out to leave the key-value service capacity for commits.
 _DELETE_PAUSE_SECONDS = 0.02
 
@@ -63,10 +63,10 @@
 def is_due(shard: Shard) -> bool:
     """Whether a shard's log has grown enough since its last snapshot."""
     log = shard.log
-    bound = max(_MIN_BYTES, _GROWTH_FACTOR * log.start.size)
+    max_growth_bytes = max(_MIN_GROWTH_BYTES, _GROWTH_FACTOR * log.start.size)
     return (
-        log.size > bound + log.start.size
-        or log.next_slot - log.start.last > _MIN_SLOTS
+        log.size > max_growth_bytes + log.start.size
+        or log.next_slot - log.start.last > _MAX_SLOTS_SINCE_SNAPSHOT
     )
 
 
@@ -109,7 +109,7 @@
         # await), so that the snapshot matches the log before it.
         records: list[Record] = []
         size = 0
-        while remaining and size < _BATCH_BYTES:
+        while remaining and size < _SNAPSHOT_SEGMENT_BYTES:
             program_records = snapshot(remaining.pop(), shard.epoch)
             size += len(msgspec.msgpack.encode(program_records))
             records += program_records
--- a/libs/programs/src/rattanmill_programs/shardlog.py
+++ b/libs/programs/src/rattanmill_programs/shardlog.py
@@ -31,7 +31,7 @@
 from rattanmill_programs.recovery import Fenced, Recovered, slot_key
 
 _log = part_logger("log")
-_SEGMENT_BYTES = 900_000
+_MAX_SEGMENT_BYTES = 900_000
 # Pending records are held in memory while the key-value service is unavailable.
 _MAX_PENDING_BYTES = 32_000_000
 _COMMIT_TIMEOUT_SECONDS = 1.0
@@ -61,7 +61,7 @@
 
     Attributes:
         fenced: Whether a newer owner was found, or the log was stopped.
-        size: Bytes in the log since its start.
+        size: Bytes of the log from its start on.
 
     Args:
         kv: Client of the key-value service.
@@ -153,7 +153,7 @@
         return not self.fenced
 
     def stop(self) -> None:
-        """Stops the log; later appends return ``Fenced``.
+        """Stops the log; pending and later appends return ``Fenced``.
 
         Otherwise a turn that ends after its shard was lost would wait for a
         commit that never happens and get ``Deferred``, and its caller would
@@ -178,7 +178,7 @@
         taken = []
         for batch in self.pending:
             size += batch.size
-            if taken and size > _SEGMENT_BYTES:
+            if taken and size > _MAX_SEGMENT_BYTES:
                 break
             taken.append(batch)
         del self.pending[: len(taken)]
@@ -187,7 +187,7 @@
     async def _write(self, batches: list[_Batch]) -> None:
         records = [record for batch in batches for record in batch.records]
         segment = Segment(new_id(), self.epoch, records)
-        for value in encode_values(segment, _SEGMENT_BYTES):
+        for value in encode_values(segment, _MAX_SEGMENT_BYTES):
             if not await self._fill_slot(value, batches):
                 return
         await self._wait_until_ownership_certain()
@@ -225,7 +225,7 @@
             await asyncio.sleep(_OWNERSHIP_POLL_SECONDS)
 
     async def _resolve_conflict(self, key: str, batches: list[_Batch]) -> None:
-        """Fences the log for a newer owner; skips a segment of an older one.
+        """Fences the log for a newer owner; retries after an older one's segment.
 
         An instance that was paused while it took over the shard may write its
         ``EpochOpened`` after that of this owner. Treating it as a newer owner
