--- a/libs/programs/src/rattanmill_programs/compaction.py
+++ b/libs/programs/src/rattanmill_programs/compaction.py
@@ -61,7 +61,7 @@
 
 
 def is_due(shard: Shard) -> bool:
-    """Whether a shard's log has grown enough since its last snapshot."""
+    """Whether a shard's log has grown enough to be compacted."""
     log = shard.log
     max_growth_bytes = max(_MIN_GROWTH_BYTES, _GROWTH_FACTOR * log.start.size)
     return (
--- a/libs/programs/src/rattanmill_programs/shardlog.py
+++ b/libs/programs/src/rattanmill_programs/shardlog.py
@@ -225,7 +225,7 @@
             await asyncio.sleep(_OWNERSHIP_POLL_SECONDS)
 
     async def _resolve_conflict(self, key: str, batches: list[_Batch]) -> None:
-        """Fences the log for a newer owner; retries after an older one's segment.
+        """Fences the log for a newer owner; else queues the batches again.
 
         An instance that was paused while it took over the shard may write its
         ``EpochOpened`` after that of this owner. Treating it as a newer owner
