--- a/libs/programs/src/rattanmill_programs/shardlog.py
+++ b/libs/programs/src/rattanmill_programs/shardlog.py
@@ -227,6 +227,7 @@
     async def _resolve_conflict(self, key: str, batches: list[_Batch]) -> None:
         """Fences the log for a newer owner; else queues the batches again.
 
+        A segment of an older owner is skipped.
         An instance that was paused while it took over the shard may write its
         ``EpochOpened`` after that of this owner. Treating it as a newer owner
         would leave the shard without an owner.
