--- a/bench/storing.py
+++ b/bench/storing.py
@@ -40,7 +40,7 @@
 )
 from rattanmill_keeper.messages import KeptTurn
 from rattanmill_platform import (
-    BACK_SECONDS,
+    MISSING_KEY_GRACE_SECONDS,
     WATCH_SECONDS,
     PrefixWatch,
     StoreCalls,
@@ -152,7 +152,7 @@
                     WATCH_SECONDS,
                     lambda key, value: None,
                     lambda key: None,
-                    BACK_SECONDS,
+                    MISSING_KEY_GRACE_SECONDS,
                 )
                 for prefix in (CONFIG_PREFIX, ENDPOINT_PREFIX)
             ]
--- a/libs/entry/src/rattanmill_entry/acts.py
+++ b/libs/entry/src/rattanmill_entry/acts.py
@@ -197,7 +197,7 @@
 
 async def _run_with_intent(run: _ActRun) -> list[Reply]:
     node, act = run.node, run.act
-    if not node.lease.holds():
+    if not node.lease.is_held():
         del run.program.acts[act.key]
         return [ownership_lost(run.start, Ran.NO)]
     intended = ActIntended(
@@ -258,7 +258,7 @@
 
 
 def _send_refusal(run: _ActRun) -> Refusal | None:
-    if not run.node.lease.holds() or run.shard.log.fenced:
+    if not run.node.lease.is_held() or run.shard.log.fenced:
         detail = "This instance may not act for the program any more."
         return refuse(Reason.OWNERSHIP_LOST, detail, ran=Ran.NO)
     if run.reported_unsent or not run.seconds_left:
--- a/libs/entry/src/rattanmill_entry/admin.py
+++ b/libs/entry/src/rattanmill_entry/admin.py
@@ -82,8 +82,8 @@
 
 def instance_status(node: Node) -> InstanceStatus:
     """Returns this instance's view of itself and the others."""
-    lease = "held" if node.lease.holds() else "lapsed"
-    if node.lease.outage():
+    lease = "held" if node.lease.is_held() else "lapsed"
+    if node.lease.is_held_in_outage():
         lease = "outage"
     return InstanceStatus(
         name=node.settings.name,
--- a/libs/entry/src/rattanmill_entry/daemon.py
+++ b/libs/entry/src/rattanmill_entry/daemon.py
@@ -173,7 +173,7 @@
 def _on_live(node: Node, ownership: Ownership) -> None:
     """Takes over what the live view has learned."""
     node.addresses.update(node.live.instances)
-    node.lease.peers_known = sum(
+    node.lease.known_peers = sum(
         1
         for record in node.live.instances.values()
         if record.domain == node.settings.domain
--- a/libs/entry/src/rattanmill_entry/expiry.py
+++ b/libs/entry/src/rattanmill_entry/expiry.py
@@ -16,7 +16,7 @@
     A program whose caller has crashed gets no more calls. Without this, it
     would hold engine memory, and its parent's tokens, forever.
     """
-    if not node.lease.holds():
+    if not node.lease.is_held():
         return
     now = time.time()
     expired = [
@@ -38,7 +38,7 @@
 async def _end(node: Node, shard: Shard, program: Program) -> None:
     with shard.busy():
         async with program.lock:
-            if program.ended is None and node.lease.holds():
+            if program.ended is None and node.lease.is_held():
                 record = ProgramEnded(program.made.program, time.time())
                 await shard.keep(record)
                 node.metrics.count("rattanmill_programs_expired")
--- a/libs/entry/src/rattanmill_entry/gossip.py
+++ b/libs/entry/src/rattanmill_entry/gossip.py
@@ -165,7 +165,7 @@
         if peer := node.hub.peers.get(message.sender):
             peer.heard = now
         if message.domain == node.settings.domain:
-            node.lease.peer_heard = now
+            node.lease.peer_last_heard_at = now
         if message.leaving:
             node.leaving.add(message.incarnation)
         if not message.reply:
--- a/libs/entry/src/rattanmill_entry/memory.py
+++ b/libs/entry/src/rattanmill_entry/memory.py
@@ -116,7 +116,7 @@
         domain, _, number = message.shard.rpartition(".")
         key = (domain, int(number) if number.isdecimal() else -1)
         shard = self.node.shards.get(key)
-        if shard is None or shard.log.fenced or not self.node.lease.holds():
+        if shard is None or shard.log.fenced or not self.node.lease.is_held():
             return
         for program_id, epoch in message.pins:
             if epoch <= shard.epoch:
@@ -150,7 +150,7 @@
 
     def _release_stale_pins(self) -> None:
         """Releases pins of programs that ended or paused for too long."""
-        if not self.node.lease.holds():
+        if not self.node.lease.is_held():
             return
         now = loop_seconds()
         for program_id, pinned in list(self.pinned_programs.items()):
--- a/libs/entry/src/rattanmill_entry/ownership.py
+++ b/libs/entry/src/rattanmill_entry/ownership.py
@@ -96,8 +96,8 @@
         if node.lease.interrupted or self.handover.write_uncertain:
             await self._confirm_ownership()
         if (
-            not node.lease.holds()
-            or node.lease.outage()
+            not node.lease.is_held()
+            or node.lease.is_held_in_outage()
             or self.handover.write_uncertain
         ):
             return
@@ -148,7 +148,7 @@
         instance that considered this one dead before then fails.
         """
         node = self.node
-        if not node.lease.valid():
+        if not node.lease.is_valid():
             return
         interruption = node.lease.interruptions
         stored = await read_owners(
@@ -217,7 +217,10 @@
         if not isinstance(recovered, Recovered):
             self._report_unloaded(number, recovered)
             return
-        if interruptions != node.lease.interruptions or not node.lease.holds():
+        if (
+            interruptions != node.lease.interruptions
+            or not node.lease.is_held()
+        ):
             # A shard read before a pause may have another owner by now.
             return
         log = ShardLog(
@@ -227,7 +230,7 @@
             epoch,
             recovered,
             self.wake.set,
-            node.lease.uninterrupted,
+            node.lease.is_uninterrupted,
         )
         node.shards[self.domain, number] = Shard(
             self.domain, number, epoch, recovered.programs, log
@@ -344,7 +347,7 @@
             await asyncio.sleep(_MAINTENANCE_INTERVAL_SECONDS)
             for shard in list(self.node.shards.values()):
                 drop_ended(shard)
-                if is_due(shard) and self.node.lease.valid():
+                if is_due(shard) and self.node.lease.is_valid():
                     await self._compact(shard)
 
     async def _compact(self, shard: Shard) -> None:
--- a/libs/entry/src/rattanmill_entry/serve.py
+++ b/libs/entry/src/rattanmill_entry/serve.py
@@ -47,7 +47,7 @@
         detail = "This instance does not own the program."
         yield refused(start, not_served(node, start, detail))
         return
-    if not node.lease.holds():
+    if not node.lease.is_held():
         yield ownership_lost(start, Ran.NO)
         return
     with shard.busy():
--- a/libs/entry/src/rattanmill_entry/telemetry.py
+++ b/libs/entry/src/rattanmill_entry/telemetry.py
@@ -11,7 +11,7 @@
     metrics.gauge("rattanmill_shards", lambda: len(node.shards))
     metrics.gauge("rattanmill_programs", lambda: _programs(node))
     metrics.gauge("rattanmill_config_number", lambda: node.config.number)
-    metrics.gauge("rattanmill_lease_held", lambda: int(node.lease.holds()))
+    metrics.gauge("rattanmill_lease_held", lambda: int(node.lease.is_held()))
     metrics.total("rattanmill_peer_in_bytes", lambda: node.hub.bytes_in)
     metrics.total("rattanmill_peer_out_bytes", lambda: node.hub.bytes_out)
 
--- a/libs/entry/src/rattanmill_entry/turns.py
+++ b/libs/entry/src/rattanmill_entry/turns.py
@@ -124,7 +124,7 @@
     chat: ChatBody,
     outbox: Outbox,
 ) -> None:
-    if not node.lease.holds() or shard.log.fenced:
+    if not node.lease.is_held() or shard.log.fenced:
         outbox.put(ownership_lost(start, Ran.NO))
         return
     if shard.log.is_full:
@@ -279,14 +279,14 @@
     end: Finished,
 ) -> None:
     """Stores the turn, and only then sends the end of the answer."""
-    if not node.lease.holds():
+    if not node.lease.is_held():
         outbox.put(ownership_lost(start, Ran.UNKNOWN))
         return
     if end.usage.prompt_tokens + end.usage.completion_tokens > program.held:
         node.metrics.count("rattanmill_engine_faults", kind="over_report")
     turn = _turn_record(program, plan, answer.message(), end)
     appended = await shard.keep(turn)
-    if isinstance(appended, Fenced) or not node.lease.holds():
+    if isinstance(appended, Fenced) or not node.lease.is_held():
         outbox.put(ownership_lost(start, Ran.UNKNOWN))
         return
     extra: dict = {"program": program.made.program, "turn": plan.number}
--- a/libs/forward/src/rattanmill_forward/daemon.py
+++ b/libs/forward/src/rattanmill_forward/daemon.py
@@ -30,7 +30,7 @@
 from rattanmill_forward.turns import TurnManager
 from rattanmill_keeper import KeeperClient, Members
 from rattanmill_platform import (
-    BACK_SECONDS,
+    MISSING_KEY_GRACE_SECONDS,
     WATCH_SECONDS,
     KeyValue,
     PrefixWatch,
@@ -96,7 +96,7 @@
                 WATCH_SECONDS,
                 self._on_endpoint,
                 self._on_endpoint_removed,
-                BACK_SECONDS,
+                MISSING_KEY_GRACE_SECONDS,
             ),
         )
 
--- a/libs/forward/src/rattanmill_forward/exchange.py
+++ b/libs/forward/src/rattanmill_forward/exchange.py
@@ -17,7 +17,7 @@
 from rattanmill_core import Metrics, log_event, loop_seconds
 from rattanmill_forward.calls import Headers, HttpCodec, ResponseHead
 from rattanmill_forward.endpoints import Endpoint
-from rattanmill_platform import bound_silence
+from rattanmill_platform import set_tcp_timeouts
 
 # A round trip takes a few milliseconds. An endpoint whose first packet was
 # dropped, or that is partitioned, is not worth more of a caller's time.
@@ -467,7 +467,7 @@
             return ConnectFailed(
                 str(error) or "connection timed out", is_refused
             )
-        bound_silence(protocol.transport.get_extra_info("socket"))
+        set_tcp_timeouts(protocol.transport.get_extra_info("socket"))
         return Connection(endpoint, protocol)
 
     def has_open_idle(self, endpoint: Endpoint) -> bool:
--- a/libs/keeper/src/rattanmill_keeper/following.py
+++ b/libs/keeper/src/rattanmill_keeper/following.py
@@ -130,7 +130,7 @@
 
     def is_complete(self) -> bool:
         """Whether all data that the other members know of was fetched."""
-        if not self.members.synced or self.members.watch.away_since:
+        if not self.members.synced or self.members.watch.unavailable_since:
             return False
         others = [n for n in self.members.known if n != self.keeper.name]
         age = asyncio.get_running_loop().time() - self.started_at
--- a/libs/keeper/src/rattanmill_keeper/members.py
+++ b/libs/keeper/src/rattanmill_keeper/members.py
@@ -254,17 +254,17 @@
 
     def is_listed(self, key: str, value: bytes) -> bool:
         """Whether the store holds exactly this entry, as far as known here."""
-        is_current = self.watch.synced and self.watch.away_since is None
+        is_current = self.watch.synced and self.watch.unavailable_since is None
         return is_current and self.watch.values.get(key) == value
 
     @property
     def changed_revision(self) -> int:
         """Revision of the newest change of the list known here."""
-        return self.watch.changed
+        return self.watch.changed_revision
 
     def store_silence_seconds(self) -> float:
         """Returns the seconds since the store last replied."""
-        return loop_seconds() - self.watch.heard_at
+        return loop_seconds() - self.watch.answered_at
 
     async def catch_up(self) -> bool:
         """Reads the current registrations; False if the store is unreachable.
--- a/libs/keeper/src/rattanmill_keeper/mirror.py
+++ b/libs/keeper/src/rattanmill_keeper/mirror.py
@@ -24,7 +24,7 @@
     Unsure,
 )
 from rattanmill_platform import (
-    BACK_SECONDS,
+    MISSING_KEY_GRACE_SECONDS,
     WATCH_SECONDS,
     KeyValue,
     PrefixWatch,
@@ -72,7 +72,7 @@
         self,
         kv: KeyValue,
         prefix: str,
-        grace_seconds: float = BACK_SECONDS,
+        grace_seconds: float = MISSING_KEY_GRACE_SECONDS,
         change_event: asyncio.Event | None = None,
     ) -> None:
         # A missing entry is reported only after its grace period: otherwise a
@@ -92,17 +92,17 @@
     @property
     def is_fresh(self) -> bool:
         """Whether the mirror is at most moments behind the store."""
-        age = loop_seconds() - self.watch.heard_at
+        age = loop_seconds() - self.watch.answered_at
         return (
             self.watch.synced
-            and self.watch.away_since is None
+            and self.watch.unavailable_since is None
             and age < _MAX_AGE_SECONDS
         )
 
     @property
     def missing_revision(self) -> int:
         """Revision at which keys were missing that may come back, or 0."""
-        return self.watch.missing_from if self.watch.missing else 0
+        return self.watch.missing_revision if self.watch.missing else 0
 
     def list_all(self) -> StoreItems | Unsure:
         """Returns all keys, including missing ones that may come back."""
@@ -228,7 +228,9 @@
         mirror = self.mirrors.get(prefix)
         if mirror is None:
             grace = (
-                REGISTRATION_GRACE_SECONDS if prefix == PREFIX else BACK_SECONDS
+                REGISTRATION_GRACE_SECONDS
+                if prefix == PREFIX
+                else MISSING_KEY_GRACE_SECONDS
             )
             mirror = Mirror(self.kv, prefix, grace, self.change_event)
             self.mirrors[prefix] = mirror
--- a/libs/platform/src/rattanmill_platform/__init__.py
+++ b/libs/platform/src/rattanmill_platform/__init__.py
@@ -1,9 +1,9 @@
-"""Clients of the platform: key-value service, lease, live view, directory."""
+"""Clients of the platform: store, lease, live view and instance list."""
 
 from rattanmill_platform.calls import Breaker, Reply, StoreCalls, Unavailable
 from rattanmill_platform.directory import Directory, Endpoint
 from rattanmill_platform.follow import (
-    BACK_SECONDS,
+    MISSING_KEY_GRACE_SECONDS,
     WATCH_SECONDS,
     PrefixWatch,
 )
@@ -26,10 +26,10 @@
     LiveView,
     ShardOwner,
 )
-from rattanmill_platform.sockets import bound_silence, watchful_socket
+from rattanmill_platform.sockets import create_tcp_socket, set_tcp_timeouts
 
 __all__ = [
-    "BACK_SECONDS",
+    "MISSING_KEY_GRACE_SECONDS",
     "Breaker",
     "Conflict",
     "Directory",
@@ -53,6 +53,6 @@
     "WATCH_SECONDS",
     "WatchEvents",
     "Written",
-    "bound_silence",
-    "watchful_socket",
+    "set_tcp_timeouts",
+    "create_tcp_socket",
 ]
--- a/libs/platform/src/rattanmill_platform/calls.py
+++ b/libs/platform/src/rattanmill_platform/calls.py
@@ -1,6 +1,6 @@
-"""HTTP calls to the key-value service: time-outs, breaker, counts.
+"""HTTP calls to the platform store: timeouts, circuit breaker, metrics.
 
-Every client of such a service builds on this, whatever its protocol.
+Shared by all clients of a store, independent of its protocol.
 """
 
 import asyncio
@@ -13,25 +13,25 @@
 
 CALL_SECONDS = 2.0
 _BREAKER_FAILURES = 3
-_BREAKER_LEAST_SECONDS = 0.2
-_BREAKER_MOST_SECONDS = 2.0
-# A connection attempt whose first packet is lost is made anew instead of
-# waiting for the next packet, a second later: after a cut that would cost
-# most of the time in which a configuration must be in force.
-_CONNECT_SECONDS = 0.4
+_BREAKER_MIN_SECONDS = 0.2
+_BREAKER_MAX_SECONDS = 2.0
+# Shorter than TCP's SYN retransmission after 1 s: a connection attempt whose
+# first packet is lost is repeated at once. After a partition, waiting would
+# use up most of the time in which a configuration must be in force.
+_CONNECT_TIMEOUT_SECONDS = 0.4
 
 
 class Unavailable(msgspec.Struct, frozen=True):
-    """No answer; a write may have taken effect all the same."""
+    """The store did not answer; a write may still have taken effect."""
 
     why: str
 
 
 class Reply(msgspec.Struct, frozen=True):
-    """An answer of the service.
+    """A response of the store.
 
     Attributes:
-        revision: What its header ``KV-Revision`` says, or 0.
+        revision: Value of its ``KV-Revision`` header, or 0.
     """
 
     status: int
@@ -40,49 +40,52 @@
 
 
 class Breaker:
-    """Stops calls for a while after several failures in a row.
+    """Circuit breaker: rejects calls after several consecutive failures.
 
-    Without it each request of an outage would wait for its own time-out, and
-    the returning service would meet all of them at once.
+    Without it, each request during an outage would wait for its own timeout,
+    and a recovering store would receive all of them at once.
+
+    Args:
+        max_seconds: Longest time for which the breaker stays open.
     """
 
-    def __init__(self, most_seconds: float = _BREAKER_MOST_SECONDS) -> None:
-        self.most_seconds = most_seconds
+    def __init__(self, max_seconds: float = _BREAKER_MAX_SECONDS) -> None:
+        self.max_seconds = max_seconds
         self.failures = 0
         self.open_until = 0.0
 
     def is_open(self) -> bool:
-        """Whether calls should fail at once."""
+        """Returns whether calls should fail immediately."""
         return asyncio.get_running_loop().time() < self.open_until
 
-    def succeeded(self) -> None:
-        """Records an answer."""
+    def record_success(self) -> None:
+        """Records an answered call and closes the breaker."""
         if self.failures >= _BREAKER_FAILURES:
             log_event("store_up", failures=self.failures)
         self.failures = 0
         self.open_until = 0.0
 
-    def failed(self, why: str = "") -> None:
-        """Records a missing answer; opens with jittered back-off."""
+    def record_failure(self, why: str = "") -> None:
+        """Records a failed call; opens the breaker with jittered backoff."""
         self.failures += 1
         if self.failures < _BREAKER_FAILURES:
             return
         if self.failures == _BREAKER_FAILURES:
             warn_event("store_away", why=why, failures=self.failures)
         steps = min(self.failures - _BREAKER_FAILURES, 8)
-        most = min(_BREAKER_LEAST_SECONDS * 2**steps, self.most_seconds)
-        pause = random.uniform(most / 2, most)
+        max_pause = min(_BREAKER_MIN_SECONDS * 2**steps, self.max_seconds)
+        pause = random.uniform(max_pause / 2, max_pause)
         self.open_until = asyncio.get_running_loop().time() + pause
 
 
 class StoreCalls:
-    """Calls the service, counting each call by kind.
+    """Calls the store and counts each call by kind.
 
     Args:
         base: Base URL.
         session: HTTP session of the process.
-        metrics: Where calls are counted.
-        pause_seconds: Longest pause after failures in a row.
+        metrics: Metrics that count the calls.
+        pause_seconds: Longest pause after consecutive failures.
     """
 
     def __init__(
@@ -90,7 +93,7 @@
         base: str,
         session: aiohttp.ClientSession,
         metrics: Metrics,
-        pause_seconds: float = _BREAKER_MOST_SECONDS,
+        pause_seconds: float = _BREAKER_MAX_SECONDS,
     ) -> None:
         self.base = base.rstrip("/")
         self.session = session
@@ -108,19 +111,21 @@
         try_always: bool = False,
         headers: dict[str, str] | None = None,
     ) -> Reply | Unavailable:
-        """Makes one call; 429 and 5xx count as no answer.
+        """Makes one call; 429 and 5xx count as unavailable.
 
         Args:
-            kind: Names the call in the counters.
+            kind: Label of the call in the metrics.
             method: HTTP method.
             path: Path and query.
             data: Body.
-            timeout: Seconds until it counts as unanswered.
-            try_always: Whether it is made even while the breaker is open.
-                Renewals are: a few refused writes would otherwise cost the
-                instance its lease, and the first one answered closes the
-                breaker.
-            headers: Headers of the request.
+            timeout: Seconds until the call counts as failed.
+            try_always: Whether to call even while the breaker is open.
+                Lease renewals do: otherwise a few failed writes could cost
+                the instance its lease. The first answer closes the breaker.
+            headers: Request headers.
+
+        Returns:
+            The response, or ``Unavailable``.
         """
         if self.breaker.is_open() and not try_always:
             return Unavailable("circuit open")
@@ -132,17 +137,17 @@
                 data=data,
                 headers=headers,
                 timeout=aiohttp.ClientTimeout(
-                    total=timeout, sock_connect=_CONNECT_SECONDS
+                    total=timeout, sock_connect=_CONNECT_TIMEOUT_SECONDS
                 ),
-            ) as answer:
-                body = await answer.read()
-                if answer.status >= 500 or answer.status == 429:
-                    raise aiohttp.ClientError(f"status {answer.status}")
-                self.breaker.succeeded()
-                revision = int(answer.headers.get("KV-Revision", 0))
-                return Reply(answer.status, body, revision)
+            ) as response:
+                body = await response.read()
+                if response.status >= 500 or response.status == 429:
+                    raise aiohttp.ClientError(f"status {response.status}")
+                self.breaker.record_success()
+                revision = int(response.headers.get("KV-Revision", 0))
+                return Reply(response.status, body, revision)
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
             why = str(error or "time-out")
-            self.breaker.failed(why)
+            self.breaker.record_failure(why)
             self.metrics.count("rattanmill_kv_failures", kind=kind)
             return Unavailable(why)
--- a/libs/platform/src/rattanmill_platform/directory.py
+++ b/libs/platform/src/rattanmill_platform/directory.py
@@ -1,6 +1,7 @@
 """Client of the platform's instance list: live and leaving endpoints.
 
-The list lags. It is one sign among several; see ``rattanmill_policy``.
+The list lags, so it is only one of several signals; see
+``rattanmill_policy``.
 """
 
 import asyncio
@@ -15,11 +16,11 @@
 
 _log = part_logger("directory")
 _POLL_SECONDS = 1.0
-_CALL_SECONDS = 2.0
+_CALL_TIMEOUT_SECONDS = 2.0
 
 
 class Endpoint(msgspec.Struct, frozen=True):
-    """An endpoint as the list shows it.
+    """An endpoint in the instance list.
 
     Attributes:
         name: Unique name.
@@ -29,7 +30,7 @@
         url: Base URL.
         models: Models an engine serves.
         state: ``live`` or ``leaving``.
-        fencing: Whether it refuses orders with an old fencing number.
+        fencing: Whether it rejects requests with an old fencing token.
     """
 
     name: str
@@ -42,17 +43,17 @@
     fencing: bool = False
 
 
-class _List(msgspec.Struct):
+class _InstanceList(msgspec.Struct):
     instances: list[Endpoint]
 
 
 class Directory:
-    """Polls the list and keeps the last one that was read.
+    """Polls the instance list and passes on each one that was read.
 
     Args:
         url: URL of the list.
         session: HTTP session of the process.
-        on_list: Called with each list read.
+        on_list: Called with the endpoints of each list that was read.
     """
 
     def __init__(
@@ -68,30 +69,30 @@
 
     async def __aenter__(self) -> Self:
         await self._poll()
-        self.task = start_loop("directory", self._poll_for_ever())
+        self.task = start_loop("directory", self._poll_periodically())
         return self
 
     async def __aexit__(self, *exc_info: object) -> None:
         if self.task:
             self.task.cancel()
 
-    async def _poll_for_ever(self) -> None:
+    async def _poll_periodically(self) -> None:
         while True:
             await asyncio.sleep(random.uniform(0.8, 1.2) * _POLL_SECONDS)
             await self._poll()
 
     async def _poll(self) -> None:
-        timeout = aiohttp.ClientTimeout(total=_CALL_SECONDS)
+        timeout = aiohttp.ClientTimeout(total=_CALL_TIMEOUT_SECONDS)
         try:
-            async with self.session.get(self.url, timeout=timeout) as answer:
-                body = await answer.read()
-                listed = msgspec.json.decode(body, type=_List)
+            async with self.session.get(self.url, timeout=timeout) as response:
+                body = await response.read()
+                listed = msgspec.json.decode(body, type=_InstanceList)
         except (
             aiohttp.ClientError,
             TimeoutError,
             OSError,
             msgspec.DecodeError,
         ) as error:
-            _log.debug("Instance list not read: {}", error)
+            _log.debug("Could not read the instance list: {}", error)
             return
         self.on_list(listed.instances)
--- a/libs/platform/src/rattanmill_platform/follow.py
+++ b/libs/platform/src/rattanmill_platform/follow.py
@@ -1,8 +1,8 @@
-"""Follows a prefix of the key-value service by reading and watching it.
+"""Follows a prefix of the platform store with snapshots and watches.
 
-A process acts on what it last heard. So a watch that stays silent beyond its
-time is given up, a lost history is closed by reading the prefix again, and
-nothing older than what was heard before is ever taken.
+A process acts on the last state that it received. So a watch without an
+answer times out, a lost history is replaced by reading the prefix again, and
+a state older than the last one received is never applied.
 """
 
 import asyncio
@@ -19,17 +19,17 @@
     WatchEvents,
 )
 
-_PAUSE_SECONDS = 0.25
-# A watch that was cut is read again within this; a key that is missing then
-# was removed. After a longer absence its holder may not have been able to
-# renew its lease.
-_AWAY_SECONDS = 1.0
-# For what must be current: bounds how late a change is noticed after a
-# connection has gone silent.
+_RETRY_SECONDS = 0.25
+# After a broken watch the prefix is read again within this time; a key that is
+# missing then was removed. After a longer outage, its holder may have been
+# unable to renew its lease.
+_MAX_WATCH_GAP_SECONDS = 1.0
+# Watch time for state that must be current: bounds how late a change is
+# noticed after a connection stops responding.
 WATCH_SECONDS = 2.5
-# Entries of endpoints that lapsed while the service was away are back within
-# two seconds of its return; whoever is missing then is gone.
-BACK_SECONDS = 2.0
+# Entries of endpoints that expired while the store was unavailable are back
+# within 2 s of its recovery; an entry still missing then is removed.
+MISSING_KEY_GRACE_SECONDS = 2.0
 
 OnWrite = Callable[[str, bytes], None]
 OnRemove = Callable[[str], None]
@@ -39,22 +39,22 @@
     """Calls back for each change under a prefix.
 
     Attributes:
-        values: Values by key, as last heard.
+        values: Last received values by key.
         missing: Last values of keys that were missing when the prefix was read
-            again, after the service had been away. Whoever renews their lease
-            may be back within the grace.
-        missing_from: Revision at which one was last found missing.
-        changed: Revision of the newest change that was heard of.
+            again after the store had been unavailable. They may come back
+            within the grace period, when their leases are renewed.
+        missing_revision: Revision at which a key was last found missing.
+        changed_revision: Revision of the newest change received.
         synced: Whether the prefix was read at least once.
-        heard_at: Loop time of the last answer.
+        answered_at: Loop time of the last answer.
 
     Args:
-        kv: The service.
-        prefix: What to follow.
+        kv: Client of the platform store.
+        prefix: Prefix to follow.
         wait_seconds: How long a watch waits for changes.
         on_write: Called with a key and its new value.
-        on_remove: Called with a key that was seen removed, or that is still
-            missing after the grace.
+        on_remove: Called with a key that was removed, or that is still missing
+            after the grace period.
         grace_seconds: How long a missing key may take to come back.
     """
 
@@ -76,12 +76,12 @@
         self.values: dict[str, bytes] = {}
         self.missing: dict[str, bytes] = {}
         self.timers: dict[str, asyncio.TimerHandle] = {}
-        self.missing_from = 0
+        self.missing_revision = 0
         self.revision = 0
-        self.changed = 0
+        self.changed_revision = 0
         self.synced = False
-        self.heard_at = float("-inf")
-        self.away_since: float | None = None
+        self.answered_at = float("-inf")
+        self.unavailable_since: float | None = None
         self.task: asyncio.Task | None = None
 
     async def __aenter__(self) -> Self:
@@ -96,20 +96,20 @@
 
     async def _follow(self) -> None:
         while True:
-            heard = await self._read()
-            while heard:
-                heard = await self._watch()
-            await asyncio.sleep(random.uniform(0.5, 1.0) * _PAUSE_SECONDS)
+            is_available = await self._read()
+            while is_available:
+                is_available = await self._watch()
+            await asyncio.sleep(random.uniform(0.5, 1.0) * _RETRY_SECONDS)
 
     async def _read(self) -> bool:
-        """Reads the whole prefix; False if nobody answered."""
+        """Reads the whole prefix; False if there was no usable answer."""
         listed = await self.kv.list(self.prefix)
         if isinstance(listed, Unavailable):
-            self._silent(listed)
+            self._mark_unavailable(listed)
             return False
         if listed.revision < self.revision:
-            # An answer that was long on its way. Taken, it would undo what
-            # is in force by now.
+            # A delayed answer: applying it would undo newer changes that are
+            # already in force.
             log_event(
                 "store_answer_old",
                 prefix=self.prefix,
@@ -117,59 +117,62 @@
                 known=self.revision,
             )
             return False
-        self._take_all(listed)
-        self._heard()
+        self._apply_snapshot(listed)
+        self._mark_available()
         return True
 
     async def catch_up(self, kv: KeyValue) -> bool:
-        """Takes in what the service holds by now; False if it is silent.
+        """Reads the current state; False if the store is unavailable.
 
-        Afterwards nothing is older here than it was there when this was
-        called. Read anew, as a watch may hear nothing while changes are made.
+        Afterwards the local state is at least as new as the store's was at the
+        time of the call. It reads the prefix again, since a watch may receive
+        nothing while changes are made.
 
         Args:
-            kv: The service itself. An answer of another instance may be as
-                old as what is known here.
+            kv: Client of the store itself. The answer of another instance may
+                be as old as the local state.
         """
         listed = await kv.list(self.prefix)
         if isinstance(listed, Unavailable):
             return False
-        # An older one: the watch has heard of more meanwhile.
+        # An older snapshot is ignored: the watch has received more meanwhile.
         if listed.revision >= self.revision:
-            self._take_all(listed)
+            self._apply_snapshot(listed)
         self.synced = True
         return True
 
-    def _take_all(self, listed: Range) -> None:
-        now = {entry.key: entry.value for entry in listed.entries}
-        was_away = self._was_away()
+    def _apply_snapshot(self, listed: Range) -> None:
+        current = {entry.key: entry.value for entry in listed.entries}
+        was_unavailable = self._was_unavailable()
         gone = {
-            key: value for key, value in self.values.items() if key not in now
+            key: value
+            for key, value in self.values.items()
+            if key not in current
         }
         changed = [
             (key, value)
-            for key, value in now.items()
+            for key, value in current.items()
             if self.values.get(key) != value
         ]
-        self.values = now
+        self.values = current
         self.revision = listed.revision
         newest = max((entry.revision for entry in listed.entries), default=0)
-        self.changed = max(self.changed, newest)
+        self.changed_revision = max(self.changed_revision, newest)
         for key, value in gone.items():
-            if was_away:
-                self._miss(key, value)
+            if was_unavailable:
+                self._start_grace(key, value)
             else:
                 self._remove(key)
         for key, value in changed:
             self._write(key, value)
 
-    def _was_away(self) -> bool:
-        if self.away_since is None:
+    def _was_unavailable(self) -> bool:
+        if self.unavailable_since is None:
             return False
-        # Since the last answer: that nothing comes any more shows only when a
-        # watch's time is over, and the service may be back by then.
+        # Counts from the last answer: an outage is noticed only when a watch
+        # times out, and the store may have recovered by then.
         now = asyncio.get_running_loop().time()
-        return now - self.heard_at > _AWAY_SECONDS
+        return now - self.answered_at > _MAX_WATCH_GAP_SECONDS
 
     async def _watch(self) -> bool:
         events = await self.kv.watch(
@@ -181,17 +184,17 @@
             )
             return await self._read()
         if isinstance(events, Unavailable):
-            self._silent(events)
+            self._mark_unavailable(events)
             return False
-        self._take(events)
-        self._heard()
+        self._apply_events(events)
+        self._mark_available()
         return True
 
-    def _take(self, events: WatchEvents) -> None:
+    def _apply_events(self, events: WatchEvents) -> None:
         if events.revision < self.revision:
             return
         self.revision = events.revision
-        self.changed = max(self.changed, events.newest)
+        self.changed_revision = max(self.changed_revision, events.newest)
         for key, value in events.changes:
             if value is None:
                 self._remove(key)
@@ -208,9 +211,9 @@
         self.values.pop(key, None)
         self.on_remove(key)
 
-    def _miss(self, key: str, value: bytes) -> None:
+    def _start_grace(self, key: str, value: bytes) -> None:
         self.missing[key] = value
-        self.missing_from = self.revision
+        self.missing_revision = self.revision
         self.timers[key] = asyncio.get_running_loop().call_later(
             self.grace_seconds, self._remove, key
         )
@@ -220,21 +223,21 @@
             del self.missing[key]
             self.timers.pop(key).cancel()
 
-    def _heard(self) -> None:
+    def _mark_available(self) -> None:
         now = asyncio.get_running_loop().time()
-        if self.away_since is not None:
+        if self.unavailable_since is not None:
             log_event(
                 "watch_back",
                 prefix=self.prefix,
-                away_s=round(now - self.away_since, 3),
+                away_s=round(now - self.unavailable_since, 3),
             )
-        self.away_since = None
+        self.unavailable_since = None
         self.synced = True
-        self.heard_at = now
+        self.answered_at = now
 
-    def _silent(self, unavailable: Unavailable) -> None:
-        if self.away_since is None:
-            self.away_since = asyncio.get_running_loop().time()
+    def _mark_unavailable(self, unavailable: Unavailable) -> None:
+        if self.unavailable_since is None:
+            self.unavailable_since = asyncio.get_running_loop().time()
             log_event(
                 "watch_lost", prefix=self.prefix, why=unavailable.why[:200]
             )
--- a/libs/platform/src/rattanmill_platform/kv.py
+++ b/libs/platform/src/rattanmill_platform/kv.py
@@ -1,8 +1,8 @@
-"""Client of the platform's key-value service; protocol in docs/PLATFORM.md.
+"""Client of the platform store; for the protocol see docs/PLATFORM.md.
 
-Every call returns a value: what the service said, or ``Unavailable`` when it
-said nothing. After ``Unavailable`` a write may or may not have taken effect;
-``KvClient.create_unique`` settles that by reading.
+Every call returns a value: the result, or ``Unavailable`` if the store did not
+answer. After ``Unavailable`` a write may or may not have taken effect;
+``KvClient.create_unique`` finds out by reading the key.
 """
 
 import base64
@@ -15,14 +15,14 @@
 from rattanmill_platform.calls import CALL_SECONDS, StoreCalls, Unavailable
 
 _T = TypeVar("_T")
-_LIST_SECONDS = 10.0
+_LIST_TIMEOUT_SECONDS = 10.0
 
 
 class Entry(msgspec.Struct, frozen=True):
     """A key, its value and the revision that wrote it.
 
     Attributes:
-        lease: Lease with which the key ends, where the service tells it.
+        lease: Lease whose expiry deletes the key, if the store reports it.
     """
 
     key: str
@@ -61,10 +61,10 @@
 
 
 class WatchEvents(msgspec.Struct, frozen=True):
-    """Changes under a prefix up to ``revision``; a value of None: deleted.
+    """Changes under a prefix up to ``revision``; a value of None means deleted.
 
     Attributes:
-        newest: Revision of the newest of them, or 0 if that is not told.
+        newest: Revision of the newest change, or 0 if not reported.
     """
 
     changes: list[tuple[str, bytes | None]]
@@ -73,7 +73,7 @@
 
 
 class HistoryLost(msgspec.Struct, frozen=True):
-    """The changes after a revision are no longer kept; read everything."""
+    """The changes after a revision are gone; read the prefix again."""
 
 
 class _WireEntry(msgspec.Struct):
@@ -96,9 +96,9 @@
 
 
 class KeyValue(Protocol):
-    """What the product needs of a key-value service.
+    """Operations that are needed of a key-value store.
 
-    ``KvClient`` and the adapter of the users' platform provide it.
+    ``KvClient`` and the adapter of the users' platform implement it.
     """
 
     async def read(self, key: str) -> Found | Missing | Unavailable:
@@ -116,10 +116,10 @@
         """Creates a lease and returns its id."""
 
     async def renew(self, lease: str) -> bool | Unavailable:
-        """Renews a lease; False if it has lapsed."""
+        """Renews a lease; False if it has expired."""
 
     async def revoke(self, lease: str) -> None:
-        """Ends a lease and deletes its keys, if the service answers."""
+        """Revokes a lease and deletes its keys, if the store answers."""
 
     async def watch(
         self, prefix: str, after: int, seconds: float
@@ -128,12 +128,12 @@
 
 
 class KvClient:
-    """Calls the key-value service, counting each call by kind.
+    """Calls the platform store and counts each call by kind.
 
     Args:
         base: Base URL.
         session: HTTP session of the process.
-        metrics: Where calls are counted.
+        metrics: Metrics that count the calls.
     """
 
     def __init__(
@@ -152,7 +152,9 @@
     async def list(self, prefix: str) -> Range | Unavailable:
         """Reads all keys under a prefix."""
         path = f"/range?prefix={prefix}"
-        status, body, _ = await self._call("GET", path, timeout=_LIST_SECONDS)
+        status, body, _ = await self._call(
+            "GET", path, timeout=_LIST_TIMEOUT_SECONDS
+        )
         wire = _decode(body, _WireRange) if status == 200 else None
         if wire is None:
             return _unavailable(status, body)
@@ -171,7 +173,7 @@
             key: Key to write.
             value: New value, at most 1 MB.
             expect: Revision the key must have; 0 if it must not exist.
-            lease: Lease with which the key ends, or empty.
+            lease: Lease whose expiry deletes the key, or empty.
         """
         path = f"/kv/{key}?expect={expect}"
         if lease:
@@ -188,8 +190,8 @@
     ) -> Written | Conflict | Unavailable:
         """Creates a key whose value is unique to this write.
 
-        A write whose answer was lost took effect if the key holds our value:
-        a retry would be told of a conflict with itself.
+        A write whose answer was lost took effect if the key has this value: a
+        retry would otherwise report a conflict with itself.
         """
         outcome = await self.write(key, value, 0)
         if not isinstance(outcome, Conflict):
@@ -217,7 +219,7 @@
         return wire.lease if wire else _unavailable(status, body)
 
     async def renew(self, lease: str) -> bool | Unavailable:
-        """Renews a lease; False if it has lapsed."""
+        """Renews a lease; False if it has expired."""
         path = f"/leases/{lease}/renew"
         status, body, _ = await self._call("POST", path, try_always=True)
         if status in (200, 404):
@@ -225,7 +227,7 @@
         return _unavailable(status, body)
 
     async def revoke(self, lease: str) -> None:
-        """Ends a lease and deletes its keys, if the service answers."""
+        """Revokes a lease and deletes its keys, if the store answers."""
         await self._call("DELETE", f"/leases/{lease}")
 
     async def watch(
@@ -254,7 +256,7 @@
         timeout: float = CALL_SECONDS,
         try_always: bool = False,
     ) -> tuple[int, bytes, int]:
-        """Returns status (0: no answer), body or reason, and revision."""
+        """Returns the status (0: no answer), body or reason, and revision."""
         kind = f"{method} {path.split('?')[0].split('/')[1]}"
         reply = await self.calls.call(
             kind, method, path, data, timeout=timeout, try_always=try_always
@@ -265,10 +267,11 @@
 
 
 def _decode(body: bytes, kind: type[_T]) -> _T | None:
-    """Returns an answer's body; None if it is not what was promised.
+    """Decodes a response body; None if it is malformed.
 
-    A broken answer counts as none. Raised, the error would end the task that
-    follows the service, and the instance would go on deaf.
+    A malformed response counts as no answer. If the error were raised, it
+    would end the task that follows the store, and the instance would run on
+    without receiving changes.
     """
     try:
         return msgspec.json.decode(body, type=kind)
--- a/libs/platform/src/rattanmill_platform/lease.py
+++ b/libs/platform/src/rattanmill_platform/lease.py
@@ -1,19 +1,20 @@
-"""The lease of this instance and the question whether it may act alone.
+"""Lease of this instance, which decides whether it may act exclusively.
 
 An instance may do what needs exclusivity (run a turn, spend budget, do an
-act) while it holds. It holds as long as nothing has interrupted it and either
-its lease is valid by its own clock, or the key-value service is silent and a
-peer of its failure domain (if it has any) was heard from.
-
-Takeover needs the service's word that the lease has lapsed and, from the
-taker, silence on the peer link for ``silence_seconds``. Inside a failure
-domain the network is one; a running instance is heard there, so a taker can
-only follow a dead or paused instance. See docs/design/state.md.
-
-A pause, or a moment in which it did not hold, interrupts the instance: its
-shards may have been taken meanwhile. A new lease alone says nothing about
-them, so it holds again only after ``confirm``, when the owners were read and
-written anew (see ``Ownership``).
+act) while its lease is held. The lease is held as long as it was not
+interrupted and either it is valid by the local clock, or the platform store is
+unavailable and a peer of the failure domain (if there is any) responded.
+
+A takeover requires that the store reports the lease as expired and that the
+new owner has received nothing on the peer link for ``silence_seconds``. A
+failure domain's network does not partition internally, so a running instance
+is reachable there and only a dead or paused one can be taken over. See
+docs/design/state.md.
+
+A pause, or a moment in which the lease was not held, interrupts it: the
+instance's shards may have been taken over meanwhile. A new lease does not
+prove ownership of them, so it counts as held only after ``confirm``, once the
+owners were read and written again (see ``Ownership``).
 """
 
 import asyncio
@@ -32,33 +33,35 @@
 
 _log = part_logger("lease")
 _RENEWALS_PER_LEASE = 4
-_RENEWALS_AT_ONCE = 8
-# Clocks of instance and service may run at slightly different speeds.
-_CLOCK_ERROR_SHARE = 0.1
-# A renewal begins up to a quarter of the lease after the one before; asked
-# and unanswered for so long, it is noticed before that one has run out.
-_ANSWER_SHARE = 0.6
+_MAX_CONCURRENT_RENEWALS = 8
+# The clocks of instance and store may run at slightly different speeds.
+_CLOCK_ERROR_FRACTION = 0.1
+# A renewal starts up to a quarter of the lease time after the previous one. A
+# renewal without an answer for this fraction of the lease time is noticed
+# before the previous one has expired.
+_MAX_ANSWER_FRACTION = 0.6
 
 
 class InstanceLease:
-    """Keeps the instance's lease and its record alive.
+    """Keeps the instance's lease and its registration record alive.
 
     Attributes:
         interrupted: Whether ownership must be confirmed before acting.
-        interruptions: How often that came to be; names one interruption.
-        resumed_at: Loop time at which the last pause was noticed. What a
-            paused instance heard, or did not hear, means nothing: silence is
+        interruptions: Number of interruptions so far; identifies one of them.
+        resumed_at: Loop time at which the last pause was noticed. Messages
+            received or missed during a pause prove nothing, so silence is
             counted from here at the earliest.
-        peers_known: Other instances of the domain, by the service's last word.
-        peer_heard: Loop time of the last sign of life of one of them.
-        told_at: Loop time at which the service was last asked with success
-            to keep the lease.
+        known_peers: Number of other instances of the domain, as last
+            reported by the store.
+        peer_last_heard_at: Loop time of the last message from one of them.
+        renewed_at: Loop time at which the last successful grant or renewal of
+            the lease was requested.
 
     Args:
-        kv: Client of the key-value service.
+        kv: Client of the platform store.
         key: Key of the instance's record.
         record: Value of the instance's record.
-        seconds: Time to live.
+        seconds: Time to live of the lease.
     """
 
     def __init__(
@@ -74,77 +77,80 @@
         self.interrupted = True
         self.interruptions = 0
         self.resumed_at = loop_seconds()
-        self.service_silent = False
-        self.peers_known = 0
-        self.peer_heard = float("-inf")
-        self.told_at = self.resumed_at
+        self.store_unavailable = False
+        self.known_peers = 0
+        self.peer_last_heard_at = float("-inf")
+        self.renewed_at = self.resumed_at
         self.acquiring = asyncio.Lock()
         self.renewals: set[asyncio.Task] = set()
         self.tasks: list[asyncio.Task] = []
 
     @property
-    def pause_bound(self) -> float:
+    def max_tick_gap_seconds(self) -> float:
         """Longest gap between two ticks that does not count as a pause."""
         return self.seconds / 3
 
     @property
     def silence_seconds(self) -> float:
-        """Silence on the peer link that a takeover needs."""
+        """Seconds without a message on the peer link before a takeover."""
         return self.seconds * 2 / 3
 
     @property
-    def answer_seconds(self) -> float:
-        """Longest wait for a renewal that keeps the lease without a gap."""
-        return self.seconds * _ANSWER_SHARE
+    def max_answer_seconds(self) -> float:
+        """Longest wait for a renewal that keeps the lease without gaps."""
+        return self.seconds * _MAX_ANSWER_FRACTION
 
-    def holds(self) -> bool:
-        """Whether this instance may do what needs exclusivity, right now."""
+    def is_held(self) -> bool:
+        """Returns whether this instance may act exclusively now."""
         return not self.interrupted and self._is_exclusive()
 
-    def uninterrupted(self) -> bool:
-        """Whether it has owned what it owns without a break until now."""
+    def is_uninterrupted(self) -> bool:
+        """Returns whether ownership has been continuous until now."""
         return not self.interrupted and not self._was_paused()
 
-    def valid(self) -> bool:
-        """Whether the service's word is that the lease is alive."""
+    def is_valid(self) -> bool:
+        """Returns whether the lease is valid as confirmed by the store."""
         return not self._was_paused() and loop_seconds() < self.valid_until
 
-    def outage(self) -> bool:
-        """Whether it holds without the service's word."""
-        return self.holds() and loop_seconds() >= self.valid_until
+    def is_held_in_outage(self) -> bool:
+        """Returns whether it is held without confirmation by the store."""
+        return self.is_held() and loop_seconds() >= self.valid_until
 
     def confirm(self, interruption: int) -> bool:
-        """Ends an interruption, unless another one began meanwhile."""
-        if interruption == self.interruptions and self.valid():
+        """Ends an interruption, unless another one started meanwhile."""
+        if interruption == self.interruptions and self.is_valid():
             self.interrupted = False
         return not self.interrupted
 
     def _is_exclusive(self) -> bool:
-        # A stopped process wakes up here before its tick task runs, and its
-        # lease may have gone to another meanwhile: the gap betrays the pause.
+        # A paused process may resume here before its tick task runs. Another
+        # instance may have taken over meanwhile; the tick gap reveals the
+        # pause.
         if self._was_paused():
             return False
         now = loop_seconds()
         if now < self.valid_until:
             return True
-        if not self.service_silent:
+        if not self.store_unavailable:
             return False
-        heard = now - self.peer_heard < self.silence_seconds
-        return heard or self._had_no_peer()
+        heard = now - self.peer_last_heard_at < self.silence_seconds
+        return heard or self._had_no_live_peer()
 
-    def _had_no_peer(self) -> bool:
-        """Whether nobody could take over when the service was last heard.
+    def _had_no_live_peer(self) -> bool:
+        """Returns whether there was no peer to take over at the last renewal.
 
-        After an outage that outlasted the leases, an instance may be back
-        before its peer has registered again. Going by records alone it would
-        go on by itself in the next outage, beside the peer that takes over
-        from it; callers would get answers to one turn from two owners.
+        After an outage longer than the leases, an instance may register
+        before its peer does. Judging by records alone, it would continue
+        alone in the next outage while the peer takes over from it, and
+        callers would get answers to one turn from two owners.
         """
-        was_silent = self.told_at - self.peer_heard >= self.silence_seconds
-        return self.peers_known == 0 and was_silent
+        was_silent = (
+            self.renewed_at - self.peer_last_heard_at >= self.silence_seconds
+        )
+        return self.known_peers == 0 and was_silent
 
     def _was_paused(self) -> bool:
-        return boot_seconds() - self.last_tick > self.pause_bound
+        return boot_seconds() - self.last_tick > self.max_tick_gap_seconds
 
     def _interrupt(self) -> None:
         self.interrupted = True
@@ -155,7 +161,7 @@
         await self._acquire(self.lease)
         self.tasks = [
             start_loop("clock", self._tick()),
-            start_loop("lease", self._renew_for_ever()),
+            start_loop("lease", self._renew_periodically()),
         ]
         return self
 
@@ -170,71 +176,74 @@
         while True:
             if self._was_paused():
                 _log.warning(
-                    "Paused {:.2f} s.", boot_seconds() - self.last_tick
+                    "Process was paused for {:.2f} s.",
+                    boot_seconds() - self.last_tick,
                 )
                 self.resumed_at = loop_seconds()
                 self.valid_until = 0.0
                 self._interrupt()
             elif not self.interrupted and not self._is_exclusive():
-                _log.warning("Does not hold its shards any more.")
+                _log.warning(
+                    "Lease is no longer held; ownership must be confirmed."
+                )
                 self._interrupt()
             self.last_tick = boot_seconds()
-            await asyncio.sleep(self.pause_bound / 4)
+            await asyncio.sleep(self.max_tick_gap_seconds / 4)
 
-    async def _renew_for_ever(self) -> None:
-        """Renews in time, whether or not the renewal before was answered.
+    async def _renew_periodically(self) -> None:
+        """Renews periodically without waiting for the previous renewal.
 
-        If each renewal waited for the one before, a service that takes a
-        second for an answer would let a lease of three seconds lapse.
+        If each renewal waited for the previous one, a store that takes 1 s
+        to answer would let a lease of 3 s expire.
         """
         pause = self.seconds / _RENEWALS_PER_LEASE
         while True:
             await asyncio.sleep(random.uniform(pause * 0.8, pause))
-            if len(self.renewals) < _RENEWALS_AT_ONCE:
+            if len(self.renewals) < _MAX_CONCURRENT_RENEWALS:
                 task = asyncio.create_task(self._renew())
                 self.renewals.add(task)
                 task.add_done_callback(self.renewals.discard)
 
     async def _renew(self) -> None:
-        asked = loop_seconds()
+        asked_at = loop_seconds()
         lease = self.lease
-        renewed = await self._ask_renewal(lease) if lease else False
+        renewed = await self._request_renewal(lease) if lease else False
         if renewed is True:
-            self._extend(asked)
+            self._extend(asked_at)
         elif isinstance(renewed, Unavailable):
-            self._note_silence(renewed.why)
+            self._mark_store_unavailable(renewed.why)
         else:
             await self._acquire(lease)
 
-    async def _ask_renewal(self, lease: str) -> bool | Unavailable:
-        """Renews, and takes a service that is too slow for a silent one.
+    async def _request_renewal(self, lease: str) -> bool | Unavailable:
+        """Renews, and treats a store that is too slow as unavailable.
 
-        The answer may come, but each after the lease it extends has nearly
-        lapsed; between two of them the instance would stop.
+        Answers may still arrive, but each when the lease it extends has nearly
+        expired; the instance would stop between two of them.
         """
         renewal = asyncio.ensure_future(self.kv.renew(lease))
-        done, _ = await asyncio.wait([renewal], timeout=self.answer_seconds)
+        done, _ = await asyncio.wait([renewal], timeout=self.max_answer_seconds)
         if not done:
-            self._note_silence("renewals take too long")
+            self._mark_store_unavailable("renewals take too long")
         return await renewal
 
     async def _acquire(self, lapsed: str) -> None:
-        """Gets a new lease in place of ``lapsed``, once."""
+        """Replaces the expired lease ``lapsed`` by a new one, once."""
         async with self.acquiring:
             if self.lease != lapsed:
                 return
-            asked = loop_seconds()
+            asked_at = loop_seconds()
             lease = await self.kv.grant(self.seconds)
             if isinstance(lease, Unavailable):
-                self._note_silence(lease.why)
+                self._mark_store_unavailable(lease.why)
                 return
             outcome = await self._write_record(lease)
             if isinstance(outcome, Written):
                 self.lease = lease
-                self._extend(asked)
+                self._extend(asked_at)
                 _log.info("Lease acquired.")
             else:
-                self._note_silence(str(outcome))
+                self._mark_store_unavailable(str(outcome))
 
     async def _write_record(
         self, lease: str
@@ -247,19 +256,19 @@
             )
         return outcome
 
-    def _extend(self, asked: float) -> None:
+    def _extend(self, asked_at: float) -> None:
         if not self.interrupted and not self._is_exclusive():
             self._interrupt()
-        self.told_at = max(self.told_at, asked)
-        until = asked + self.seconds * (1 - _CLOCK_ERROR_SHARE)
+        self.renewed_at = max(self.renewed_at, asked_at)
+        until = asked_at + self.seconds * (1 - _CLOCK_ERROR_FRACTION)
         self.valid_until = max(self.valid_until, until)
-        if loop_seconds() - asked < self.answer_seconds:
-            self.service_silent = False
+        if loop_seconds() - asked_at < self.max_answer_seconds:
+            self.store_unavailable = False
 
-    def _note_silence(self, why: str) -> None:
-        if not self.service_silent:
-            _log.warning("Key-value service silent: {}", why)
-        self.service_silent = True
+    def _mark_store_unavailable(self, why: str) -> None:
+        if not self.store_unavailable:
+            _log.warning("Platform store is unavailable: {}", why)
+        self.store_unavailable = True
 
 
 def new_incarnation() -> str:
--- a/libs/platform/src/rattanmill_platform/live.py
+++ b/libs/platform/src/rattanmill_platform/live.py
@@ -1,6 +1,7 @@
-"""What the key-value service says is live: instances, owners, configuration.
+"""Live state in the platform store: instances, owners and configuration.
 
-One range read and then one waiting watch covers all of it, under one prefix.
+All of it is under one prefix, so one range read followed by one long-polling
+watch covers it.
 """
 
 import asyncio
@@ -19,11 +20,11 @@
 _INSTANCES = LIVE_PREFIX + "instances/"
 _SHARDS = LIVE_PREFIX + "shards/"
 _WATCH_SECONDS = 10.0
-_PAUSE_SECONDS = 0.3
+_MAX_RETRY_SECONDS = 0.3
 
 
 class InstanceRecord(msgspec.Struct, frozen=True):
-    """An instance as it registers itself, under its lease.
+    """Registration record of an instance, bound to its lease.
 
     Attributes:
         name: Name.
@@ -49,8 +50,8 @@
         owner: Name of the instance, or empty.
         incarnation: Its random id.
         epoch: Grows with each change of owner.
-        peer: Its address for instances of the same domain. Whoever finds its
-            own record gone can still ask it whether it lives.
+        peer: Its address for instances of the same domain. When its own record
+            is gone, others can still ask it whether it is alive.
     """
 
     owner: str
@@ -62,8 +63,8 @@
 class DomainShards(msgspec.Struct, frozen=True):
     """Owners of all shards of one failure domain, kept in one value.
 
-    ``change`` is unique to each write, so that one whose answer was lost can
-    be told from another's.
+    ``change`` is unique to each write, to distinguish a write whose answer was
+    lost from one of another instance.
     """
 
     epoch: int
@@ -72,12 +73,12 @@
 
 
 def instance_key(domain: str, name: str) -> str:
-    """Key of an instance's record."""
+    """Returns the key of an instance's record."""
     return f"{_INSTANCES}{domain}/{name}"
 
 
 def shards_key(domain: str) -> str:
-    """Key of a failure domain's owners."""
+    """Returns the key of a failure domain's owners."""
     return _SHARDS + domain
 
 
@@ -92,7 +93,7 @@
         changed: Set at each change; waiters clear it.
 
     Args:
-        kv: Client of the key-value service.
+        kv: Client of the platform store.
         on_change: Called after each change.
     """
 
@@ -116,13 +117,13 @@
             self.task.cancel()
 
     async def refresh(self) -> bool:
-        """Reads everything anew; False if the service is silent."""
+        """Reads everything again; False if the store is unavailable."""
         listed = await self.kv.list(LIVE_PREFIX)
         if isinstance(listed, Unavailable):
             return False
         self.instances = {}
         for entry in listed.entries:
-            self._take(entry.key, entry.value)
+            self._apply(entry.key, entry.value)
         self.revision = listed.revision
         self.synced = True
         self.on_change()
@@ -131,7 +132,7 @@
     async def _follow(self) -> None:
         while True:
             if not self.synced:
-                await asyncio.sleep(random.uniform(0, _PAUSE_SECONDS))
+                await asyncio.sleep(random.uniform(0, _MAX_RETRY_SECONDS))
                 await self.refresh()
                 continue
             events = await self.kv.watch(
@@ -141,16 +142,16 @@
                 self.synced = False
                 continue
             for key, value in events.changes:
-                self._take(key, value)
+                self._apply(key, value)
             self.revision = events.revision
             if events.changes:
                 self.on_change()
 
-    def _take(self, key: str, value: bytes | None) -> None:
+    def _apply(self, key: str, value: bytes | None) -> None:
         try:
             self._store(key, value)
         except msgspec.DecodeError as error:
-            _log.error("Value of {} does not decode: {}", key, error)
+            _log.error("Could not decode the value of {}: {}", key, error)
 
     def _store(self, key: str, value: bytes | None) -> None:
         name = key.rsplit("/", 1)[-1]
@@ -160,8 +161,8 @@
             shards = msgspec.json.decode(value, type=DomainShards)
             known = self.shards.get(name)
             if known and len(shards.shards) < len(known.shards):
-                # Written by hand: no instance takes a shard away.
-                _log.error("Owners of {} lack shards; passed over.", name)
+                # Written manually: no instance removes a shard.
+                _log.error("Owners of {} lack shards; value ignored.", name)
             elif known is None or shards.epoch >= known.epoch:
                 self.shards[name] = shards
         elif key.startswith(_INSTANCES):
--- a/libs/platform/src/rattanmill_platform/sockets.py
+++ b/libs/platform/src/rattanmill_platform/sockets.py
@@ -1,22 +1,22 @@
-"""Sockets on which a cut-off peer shows as an error.
+"""TCP sockets that report an unreachable peer as an error.
 
-Without these options a call to a peer behind a partition waits for its own
-time-out, and after the partition for the next retransmission, which is
-seconds away by then.
+Without these options a call to a partitioned peer waits for its own timeout,
+and after the partition for the next retransmission, which is seconds away by
+then.
 """
 
 import socket
 from typing import Any
 
-# Bytes that are not acknowledged for so long mean that the way is cut: twice
-# the least retransmission time of TCP and some.
+# Data unacknowledged for this long means that the peer is unreachable:
+# somewhat more than twice TCP's minimum retransmission timeout.
 _UNACKNOWLEDGED_MS = 700
 _KEEPALIVE_SECONDS = 1
 _KEEPALIVE_PROBES = 2
 
 
-def bound_silence(sock: socket.socket) -> None:
-    """Sets the options on a socket."""
+def set_tcp_timeouts(sock: socket.socket) -> None:
+    """Sets the timeout and keepalive options on a TCP socket."""
     sock.setsockopt(
         socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _UNACKNOWLEDGED_MS
     )
@@ -26,10 +26,10 @@
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, _KEEPALIVE_PROBES)
 
 
-def watchful_socket(address: tuple[Any, ...]) -> socket.socket:
-    """Makes a socket for an address, as ``getaddrinfo`` gives it."""
+def create_tcp_socket(address: tuple[Any, ...]) -> socket.socket:
+    """Creates a socket for an address as ``getaddrinfo`` returns it."""
     family, kind, protocol = address[:3]
     sock = socket.socket(family, kind, protocol)
     sock.setblocking(False)
-    bound_silence(sock)
+    set_tcp_timeouts(sock)
     return sock
--- a/tests/features/steps/membership.py
+++ b/tests/features/steps/membership.py
@@ -136,7 +136,9 @@
     network = context.network
     network.register(name)
     members = network.members[other]
-    members.watch.revision = members.watch.changed = network.kv.revision
+    members.watch.revision = members.watch.changed_revision = (
+        network.kv.revision
+    )
     members._on_written(PREFIX + name, network.kv.items[PREFIX + name][0])
 
 
--- a/tests/features/steps/ownership.py
+++ b/tests/features/steps/ownership.py
@@ -293,23 +293,23 @@
         seen = []
         async with InstanceLease(kv, "key", b"record", 0.6) as lease:
             lease.confirm(lease.interruptions)
-            seen.append(lease.holds())
+            seen.append(lease.is_held())
             advance_clock(0.7)
-            seen.append(lease.holds())
-            while not lease.valid():  # noqa: ASYNC110
+            seen.append(lease.is_held())
+            while not lease.is_valid():  # noqa: ASYNC110
                 await asyncio.sleep(0.01)
-            seen.append(lease.holds())
+            seen.append(lease.is_held())
             kv.is_unavailable = True
-            lease.peers_known = 1
-            while not lease.service_silent or lease.valid():
-                lease.peer_heard = asyncio.get_running_loop().time()
+            lease.known_peers = 1
+            while not lease.store_unavailable or lease.is_valid():
+                lease.peer_last_heard_at = asyncio.get_running_loop().time()
                 await asyncio.sleep(0.01)
-            seen.append(lease.holds())
+            seen.append(lease.is_held())
             kv.is_unavailable = False
-            while not lease.valid():  # noqa: ASYNC110
+            while not lease.is_valid():  # noqa: ASYNC110
                 await asyncio.sleep(0.01)
             lease.confirm(lease.interruptions)
-            seen.append(lease.holds())
+            seen.append(lease.is_held())
         return seen
 
     context.seen = run_lease(run())
@@ -346,14 +346,14 @@
         kv = _FakeKv()
         async with InstanceLease(kv, "key", b"record", 1.0) as lease:
             lease.confirm(lease.interruptions)
-            lease.peers_known = 1
+            lease.known_peers = 1
             kv.seconds = context.share
             end = asyncio.get_running_loop().time() + count
             held = []
             while asyncio.get_running_loop().time() < end:
                 await asyncio.sleep(0.02)
-                lease.peer_heard = asyncio.get_running_loop().time()
-                held.append(lease.holds())
+                lease.peer_last_heard_at = asyncio.get_running_loop().time()
+                held.append(lease.is_held())
         return held
 
     held = run_lease(run())
--- a/tests/features/steps/views.py
+++ b/tests/features/steps/views.py
@@ -11,7 +11,7 @@
 from rattanmill_keeper import Member, Members, RelayedKv
 from rattanmill_keeper.mirror import Mirrors
 from rattanmill_platform import (
-    BACK_SECONDS,
+    MISSING_KEY_GRACE_SECONDS,
     Entry,
     PrefixWatch,
     Range,
@@ -156,7 +156,7 @@
         2.5,
         lambda key, value: registry.update(_endpoint(key, context.prefix)),
         lambda key: registry.remove(key.removeprefix(context.prefix)),
-        BACK_SECONDS,
+        MISSING_KEY_GRACE_SECONDS,
     )
     again = context.register_again
     now = asyncio.get_running_loop().time
--- a/tests/support/memory.py
+++ b/tests/support/memory.py
@@ -1,4 +1,4 @@
-"""The key-value service's client, in memory, for tests of what uses it."""
+"""In-memory fake of the platform store's client, for tests."""
 
 from collections.abc import Callable
 
@@ -17,19 +17,20 @@
 
 
 class Crash(Exception):
-    """The process that uses the client dies here."""
+    """Simulates a crash of the process that uses the client."""
 
 
 class MemoryKv:
-    """Keeps keys in memory; each call can be made to fail.
+    """Stores keys in memory; each call can be made to fail.
 
     Attributes:
         items: Value and revision by key.
-        changes: Revision, key and value of each change; None: deleted.
-        oldest: Revision from which on the changes are kept.
+        changes: Revision, key and value of each change; None means deleted.
+        oldest: Revision after which changes are kept.
         calls: Calls so far.
-        fault: Called with the number of the call before it takes effect and
-            again, with ``True``, after it; may raise.
+        fault: Called with the number of the call and ``False`` before it takes
+            effect; writes and deletes call it again with ``True`` after it.
+            May raise.
     """
 
     def __init__(self) -> None:
@@ -68,7 +69,7 @@
     async def write(
         self, key: str, value: bytes, expect: int, lease: str = ""
     ) -> Written | Conflict | Unavailable:
-        """Compare-and-swap."""
+        """Writes if the key's revision is ``expect`` (compare-and-swap)."""
         number = self._begin()
         found = self.items.get(key, (b"", 0))[1]
         if found != expect:
@@ -78,7 +79,7 @@
         return Written(self.revision)
 
     def put(self, key: str, value: bytes | None) -> None:
-        """Changes a key past all conditions; None deletes it."""
+        """Changes a key unconditionally; None deletes it."""
         if value is None and key not in self.items:
             return
         self.revision += 1
@@ -89,7 +90,7 @@
             self.items[key] = (value, self.revision)
 
     def forget_changes(self) -> None:
-        """Drops the history; watches have to read everything again."""
+        """Drops the history, so that watches must read everything again."""
         self.changes.clear()
         self.oldest = self.revision
 
