--- a/libs/platform/src/rattanmill_platform/lease.py
+++ b/libs/platform/src/rattanmill_platform/lease.py
@@ -133,8 +133,8 @@
             return True
         if not self.store_unavailable:
             return False
-        heard = now - self.peer_last_heard_at < self.silence_seconds
-        return heard or self._had_no_live_peer()
+        peer_is_live = now - self.peer_last_heard_at < self.silence_seconds
+        return peer_is_live or self._had_no_live_peer()
 
     def _had_no_live_peer(self) -> bool:
         """Returns whether there was no peer to take over at the last renewal.
@@ -227,10 +227,10 @@
             self._mark_store_unavailable("renewals take too long")
         return await renewal
 
-    async def _acquire(self, lapsed: str) -> None:
-        """Replaces the expired lease ``lapsed`` by a new one, once."""
+    async def _acquire(self, expired_lease: str) -> None:
+        """Replaces the expired lease ``expired_lease`` by a new one, once."""
         async with self.acquiring:
-            if self.lease != lapsed:
+            if self.lease != expired_lease:
                 return
             asked_at = loop_seconds()
             lease = await self.kv.grant(self.seconds)
