--- a/libs/wire/src/rattanmill_wire/__init__.py
+++ b/libs/wire/src/rattanmill_wire/__init__.py
@@ -1,4 +1,4 @@
-"""Typed messages between instances and the links that carry them."""
+"""Typed messages between instances, and the connections that carry them."""
 
 from rattanmill_wire.messages import (
     CallCancel,
--- a/libs/wire/src/rattanmill_wire/messages.py
+++ b/libs/wire/src/rattanmill_wire/messages.py
@@ -1,6 +1,6 @@
-"""Messages between instances: msgpack, tagged, with a version byte in front.
+"""Messages between instances: tagged msgpack after a version byte.
 
-A message of another version, or one that does not decode, yields None; the
+A message of another version, or one that cannot be decoded, yields None; the
 receiver counts and drops it.
 """
 
@@ -14,7 +14,7 @@
 
 
 class CallKind(enum.StrEnum):
-    """What a forwarded call asks of the program's owner."""
+    """Operation that a forwarded call requests from the program's owner."""
 
     CHAT = "chat"
     SERVICE = "service"
@@ -25,15 +25,15 @@
 
 
 class Heartbeat(msgspec.Struct, tag=1):
-    """Says that the sender is alive, and which configuration it has in force.
+    """Reports that the sender is alive and which configuration it uses.
 
     Attributes:
         sender: Name of the instance.
         domain: Its failure domain.
         incarnation: Random id of the process, new after each restart.
-        config_number: Number of its configuration document.
+        config_number: Number of the configuration document in force.
         leaving: Whether it is shutting down.
-        reply: Whether this answers a heartbeat.
+        reply: Whether this is the reply to a heartbeat.
     """
 
     sender: str
@@ -45,7 +45,7 @@
 
 
 class ConfigAsk(msgspec.Struct, tag=2):
-    """Asks for the configuration document the receiver has in force."""
+    """Requests the configuration document that the receiver has in force."""
 
 
 class ConfigTell(msgspec.Struct, tag=3):
@@ -55,24 +55,24 @@
 
 
 class CallStart(msgspec.Struct, tag=4):
-    """A call for a program's owner.
+    """Forwards a call to the owner of its program.
 
     Attributes:
         call: Id of the call, unique per sender process.
-        kind: What is asked.
+        kind: Requested operation.
         program: Program id, or empty for a call without a program.
         turn: Turn number, or 0 if the caller gave none.
         method: HTTP method for services.
-        path: Path after the service's name, with its query.
+        path: Path after the service's name, including the query.
         service: Name of the service, or empty.
-        headers: Headers passed on to the endpoint.
+        headers: Headers to forward to the endpoint.
         body: Body of the request.
         stream: Whether the caller wants server-sent events.
-        append: Whether ``body`` has only the turn's new messages.
+        append: Whether ``body`` holds only the turn's new messages.
         workspace: Workspace of the caller.
         key: Idempotency key, or empty.
         act: Whether the call is non-idempotent.
-        seconds_left: Time until the caller's deadline.
+        seconds_left: Seconds until the caller's deadline.
     """
 
     call: str
@@ -93,7 +93,7 @@
 
 
 class CallCancel(msgspec.Struct, tag=5):
-    """The caller has gone; the owner may stop the call."""
+    """Reports that the caller has disconnected; the owner may stop the call."""
 
     call: str
 
@@ -114,7 +114,7 @@
 
 
 class ReplyChunk(msgspec.Struct, tag=8):
-    """Part ``seq`` (from 0) of a reply's body."""
+    """Chunk ``seq`` (counted from 0) of a reply's body."""
 
     call: str
     seq: int
@@ -136,7 +136,7 @@
 
 
 class EndpointNotes(msgspec.Struct, tag=40):
-    """Tells what was seen of endpoints and of requests that crash them.
+    """Reports observations of endpoints and of requests that crash them.
 
     Attributes:
         domain: Failure domain of the sender.
@@ -150,7 +150,7 @@
 
 
 class PinsHeld(msgspec.Struct, tag=41):
-    """Tells an owner which pins an engine reports for its shard.
+    """Reports to an owner which pins an engine holds for its shard.
 
     Attributes:
         endpoint: Name of the engine.
@@ -183,12 +183,12 @@
 
 
 def encode_message(message: Message) -> bytes:
-    """Returns the bytes of a message."""
+    """Returns a message as bytes, with the version byte in front."""
     return _VERSION + _ENCODER.encode(message)
 
 
 def decode_message(data: bytes) -> Message | None:
-    """Returns the message, or None if the bytes are not one we know."""
+    """Returns the message, or None if its version or type is unknown."""
     if data[:1] != _VERSION:
         return None
     try:
--- a/libs/wire/src/rattanmill_wire/peers.py
+++ b/libs/wire/src/rattanmill_wire/peers.py
@@ -1,8 +1,8 @@
-"""Links to other instances over ZeroMQ with CURVE.
+"""Connections to other instances over ZeroMQ with CURVE encryption.
 
-One ROUTER socket takes calls from others; one DEALER socket and one task for
-each peer carries our calls there and the replies back. All instances share one
-CURVE key pair, which is read from a file; an instance without it cannot
+One ROUTER socket receives calls from other instances. For each peer, a DEALER
+socket and a task send calls to it and receive the replies. All instances share
+one CURVE key pair, which is read from a file; an instance without it cannot
 connect, since the server key is not published anywhere.
 """
 
@@ -44,7 +44,7 @@
 _QUEUE_MESSAGES = 1000
 _WINDOW_CHUNKS = 64
 _SEND_TIMEOUT_MS = 2000
-_LOOK_SECONDS = 0.1
+_REPLY_POLL_SECONDS = 0.1
 
 Reply = ReplyHead | ReplyChunk | ReplyEnd | ReplyRefused
 Serve = Callable[[CallStart], AsyncIterator[Reply]]
@@ -52,7 +52,7 @@
 
 
 class PeerSecret(msgspec.Struct, frozen=True):
-    """CURVE key pair shared by all instances, Z85 text; also signs receipts."""
+    """CURVE key pair shared by all instances, as Z85; also signs receipts."""
 
     secret: bytes
     public: bytes
@@ -62,26 +62,26 @@
     """Reads the shared secret key.
 
     Raises:
-        SettingsError: The file is missing or holds no Z85 key of 40 letters.
+        SettingsError: The file is missing or holds no Z85 key of 40 characters.
     """
     try:
         secret = pathlib.Path(path).read_bytes().strip()
         return PeerSecret(secret, zmq.curve_public(secret))
     except (OSError, ValueError, zmq.ZMQError) as error:
         raise SettingsError(
-            f"{path}: no usable secret key (40 letters of Z85): {error}"
+            f"{path}: no valid secret key (40 characters of Z85): {error}"
         ) from error
 
 
 class _Stream:
-    """Replies of one call that are on their way to us."""
+    """Received replies of one forwarded call that are not yet read."""
 
     def __init__(self) -> None:
         self.queue: asyncio.Queue[Reply] = asyncio.Queue()
 
 
 class Peer:
-    """Our link to one other instance."""
+    """Connection to one other instance."""
 
     def __init__(self, hub: "PeerHub", name: str, address: str) -> None:
         self.hub = hub
@@ -93,13 +93,14 @@
         hub.secure(self.socket)
         self.socket.curve_serverkey = hub.secret.public
         self.socket.routing_id = f"{hub.name}:{new_id()}".encode()
-        # From our own address, so that links can be told apart by source.
+        # Binds the source address so that connections can be distinguished
+        # by their source.
         source = hub.address.rsplit(":", 1)[0]
         self.socket.connect(f"tcp://{source}:0;{address}")
         self.task = start_loop("peer link", self._receive())
 
     async def send(self, message: Message) -> bool:
-        """Sends a message; False if the link is full."""
+        """Sends a message; returns False if the send queue is full."""
         try:
             data = encode_message(message)
             await self.socket.send(data)
@@ -124,21 +125,21 @@
                     if stream := self.streams.get(message.call):
                         stream.queue.put_nowait(message)
                 case _:
-                    self.hub.notice(message, self._answer)
+                    self.hub.notice(message, self._send_reply)
 
-    async def _answer(self, message: Message) -> None:
+    async def _send_reply(self, message: Message) -> None:
         await self.send(message)
 
     async def call(
         self, start: CallStart, has_moved: Callable[[], bool]
     ) -> AsyncIterator[Reply]:
-        """Forwards a call and yields its replies, checked for gaps.
+        """Forwards a call and yields its replies, checking for lost chunks.
 
         Args:
             start: The call.
-            has_moved: Whether another instance owns the program by now. A
-                dead owner is silent; waiting for the silence to count would
-                hold up calls that its successor could answer.
+            has_moved: Returns whether another instance owns the program by
+                now. A dead owner sends nothing; waiting for the timeout would
+                delay calls that its successor could answer.
         """
         stream = _Stream()
         self.streams[start.call] = stream
@@ -153,7 +154,7 @@
                 reply = await self._next_reply(stream, start, has_moved)
                 if isinstance(reply, ReplyChunk):
                     if reply.seq != expected:
-                        reply = _cut(start)
+                        reply = _chunk_lost(start)
                     else:
                         expected += 1
                         if expected % (_WINDOW_CHUNKS // 2) == 0:
@@ -161,7 +162,7 @@
                                 CallCredit(start.call, _WINDOW_CHUNKS // 2)
                             )
                 elif isinstance(reply, ReplyEnd) and reply.count != expected:
-                    reply = _cut(start)
+                    reply = _chunk_lost(start)
                 finished = isinstance(reply, ReplyEnd | ReplyRefused)
                 yield reply
                 if finished:
@@ -178,19 +179,19 @@
         has_moved: Callable[[], bool],
     ) -> Reply:
         loop = asyncio.get_running_loop()
-        asked = loop.time()
+        sent_at = loop.time()
         while True:
             try:
-                # Not wait_for, which starts a task: this runs for each token.
-                async with asyncio.timeout(_LOOK_SECONDS):
+                # wait_for would start a task, and this runs for each token.
+                async with asyncio.timeout(_REPLY_POLL_SECONDS):
                     return await stream.queue.get()
             except TimeoutError:
-                silent = loop.time() - max(self.heard, asked)
-                if silent > self.hub.silence_seconds or has_moved():
+                silence_seconds = loop.time() - max(self.heard, sent_at)
+                if silence_seconds > self.hub.silence_seconds or has_moved():
                     return _unreachable(start, self.name, Ran.UNKNOWN)
 
     def close(self) -> None:
-        """Drops the link; calls on it are refused by their own silence."""
+        """Closes the connection; its pending calls end by their timeout."""
         self.task.cancel()
         self.socket.close(linger=0)
 
@@ -202,13 +203,13 @@
     )
 
 
-def _cut(start: CallStart) -> ReplyRefused:
+def _chunk_lost(start: CallStart) -> ReplyRefused:
     detail = "Part of the answer was lost between instances."
     return ReplyRefused(start.call, refuse(Reason.ANSWER_CUT, detail))
 
 
 class _Served:
-    """A call of another instance that we are serving."""
+    """Call from another instance that this instance is serving."""
 
     def __init__(self) -> None:
         self.credit = asyncio.Semaphore(_WINDOW_CHUNKS)
@@ -216,17 +217,17 @@
 
 
 class PeerHub:
-    """All links of this instance.
+    """All connections of this instance to its peers.
 
     Args:
         name: Name of this instance.
         address: ``IP:PORT`` to bind.
         secret: Shared key pair.
-        metrics: Where dropped messages are counted.
-        serve: Serves a forwarded call, yielding its replies.
-        notice: Takes any other message, with a way to answer it.
-        silence_seconds: After so long without a word from a peer, calls
-            waiting for it are given up on.
+        metrics: Counts dropped messages.
+        serve: Serves a forwarded call and yields its replies.
+        notice: Handles any other message; gets a function that replies to it.
+        silence_seconds: Timeout without a message from a peer, after which
+            calls that wait for it are refused.
     """
 
     def __init__(
@@ -254,7 +255,7 @@
         self.task: asyncio.Task | None = None
 
     def secure(self, socket: zmq.asyncio.Socket) -> None:
-        """Sets keys, bounds and time-outs of a socket."""
+        """Sets the keys, queue limits and timeouts of a socket."""
         socket.curve_secretkey = self.secret.secret
         socket.curve_publickey = self.secret.public
         socket.sndhwm = _QUEUE_MESSAGES
@@ -268,8 +269,8 @@
         self.router = self.context.socket(zmq.ROUTER)
         self.secure(self.router)
         self.router.curve_server = True
-        # Without this, a message to a peer whose queue is full is dropped
-        # silently and its caller would wait for a chunk that never comes.
+        # Without this option, a message to a peer whose queue is full is
+        # dropped silently, and its caller would wait for a lost chunk.
         self.router.router_mandatory = True
         try:
             self.router.bind(f"tcp://{self.address}")
@@ -293,7 +294,7 @@
         self.context.destroy(linger=200)
 
     def peer(self, name: str, address: str) -> Peer:
-        """Returns the link to a peer, opening it on first use."""
+        """Returns the connection to a peer; opens it on first use."""
         peer = self.peers.get(name)
         if peer and peer.address == address:
             return peer
@@ -304,7 +305,7 @@
         return peer
 
     def forget(self, name: str) -> None:
-        """Closes the link to a peer that has left."""
+        """Closes the connection to a peer that has left."""
         if peer := self.peers.pop(name, None):
             peer.close()
 
@@ -334,13 +335,15 @@
                         for _ in range(min(message.count, _WINDOW_CHUNKS)):
                             served.credit.release()
                 case _:
-                    self.notice(message, self._answer_to(sender))
+                    self.notice(message, self._reply_function(sender))
 
-    def _answer_to(self, sender: bytes) -> Callable[[Message], Awaitable[None]]:
-        async def answer(message: Message) -> None:
+    def _reply_function(
+        self, sender: bytes
+    ) -> Callable[[Message], Awaitable[None]]:
+        async def send_reply(message: Message) -> None:
             await self._send(sender, message)
 
-        return answer
+        return send_reply
 
     async def _send(self, sender: bytes, message: Message) -> bool:
         try:
@@ -358,11 +361,11 @@
         replies = self.serve(start)
         try:
             with log_ids(start.program, start.call):
-                await self._reply(sender, replies, served)
+                await self._send_replies(sender, replies, served)
         finally:
             self.served.pop((sender, start.call), None)
 
-    async def _reply(
+    async def _send_replies(
         self, sender: bytes, replies: AsyncIterator[Reply], served: _Served
     ) -> None:
         async with contextlib.aclosing(replies):
--- a/libs/wire/src/rattanmill_wire/requests.py
+++ b/libs/wire/src/rattanmill_wire/requests.py
@@ -1,8 +1,8 @@
 """Requests and replies between instances over ZeroMQ.
 
-One ROUTER socket answers, one DEALER socket a peer asks. A request that gets
-no reply in its time yields None, and the connection is made anew: one that
-has gone silent without a reset would otherwise swallow all that follow.
+A ROUTER socket serves requests; one DEALER socket for each peer sends them. A
+request without a reply before its timeout yields None, and the connection is
+replaced: one that was lost without a reset would drop all later requests.
 """
 
 import asyncio
@@ -23,12 +23,12 @@
 _QUEUE_MESSAGES = 1000
 _CONNECT_MS = 500
 _RECONNECT_MS = 30
-_RECONNECT_MOST_MS = 300
-# Requests under way at a time; more means that this process can't keep up,
-# and the asker does better to ask another one.
-_MOST_SERVED = 2000
-# Messages taken in a row before other work has its turn.
-_AT_ONCE = 50
+_MAX_RECONNECT_MS = 300
+# Limit of concurrent requests. Above it, this process cannot keep up, and the
+# client should use another instance.
+_MAX_CONCURRENT_REQUESTS = 2000
+# Messages received in a row before the event loop runs other work.
+_MAX_BATCH_MESSAGES = 50
 _LINGER_MS = 100
 
 Serve = Callable[[Any], msgspec.Struct | Awaitable[msgspec.Struct]]
@@ -42,11 +42,11 @@
         self.decoder = msgspec.msgpack.Decoder(messages)
 
     def encode(self, message: msgspec.Struct) -> bytes:
-        """Returns a message's bytes."""
+        """Returns the encoded message."""
         return self.encoder.encode(message)
 
     def decode(self, data: bytes) -> Any:
-        """Returns the message, or None if it is of no kind known here."""
+        """Returns the message, or None if its type is unknown."""
         try:
             return self.decoder.decode(data)
         except msgspec.DecodeError as error:
@@ -57,14 +57,14 @@
 class _Socket:
     """A ZeroMQ socket on the event loop, without a future for each message.
 
-    Its descriptor becomes readable once for any number of changes, and a call
-    that sends may take that sign away. So what there is to receive is looked
-    for after each sign and after each message sent.
+    The socket's descriptor is edge-triggered: it becomes readable once for any
+    number of changes, and a send may clear that event. The socket is therefore
+    checked for received messages after each event and after each send.
 
     Args:
-        kind: ZeroMQ's kind of socket.
+        kind: ZeroMQ socket type.
         received: Called with the frames of each message.
-        writable: Called when messages may go out again.
+        writable: Called when messages may be sent again.
     """
 
     def __init__(
@@ -74,18 +74,18 @@
         writable: Callable[[], None] = lambda: None,
     ) -> None:
         self.socket = zmq.Context.instance().socket(kind)
-        _bound(self.socket)
+        _set_options(self.socket)
         self.received = received
         self.writable = writable
         self.loop = asyncio.get_running_loop()
-        self.is_due = False
-        self.loop.add_reader(self.socket.fd, self._look)
+        self.is_scheduled = False
+        self.loop.add_reader(self.socket.fd, self._receive_batch)
 
     def send(self, frames: list[bytes]) -> bool:
-        """Sends a message; False if there is no connection or no room.
+        """Sends a message; returns False if not connected or the queue is full.
 
         Raises:
-            zmq.ZMQError: It can't be sent.
+            zmq.ZMQError: The message cannot be sent.
         """
         try:
             self.socket.send_multipart(frames, zmq.NOBLOCK)
@@ -95,23 +95,23 @@
             is_sent = True
         events = self.socket.getsockopt(zmq.EVENTS)
         if events & zmq.POLLIN or (events & zmq.POLLOUT and not is_sent):
-            self._look_soon()
+            self._schedule_receive()
         return is_sent
 
     def close(self, linger_ms: int = 0) -> None:
-        """Closes it; what was sent has so long to get out."""
+        """Closes the socket; sends queued messages for up to ``linger_ms``."""
         if not self.socket.closed:
             self.loop.remove_reader(self.socket.fd)
             self.socket.close(linger=linger_ms)
 
-    def _look_soon(self) -> None:
-        if not self.is_due:
-            self.is_due = True
-            self.loop.call_soon(self._look)
+    def _schedule_receive(self) -> None:
+        if not self.is_scheduled:
+            self.is_scheduled = True
+            self.loop.call_soon(self._receive_batch)
 
-    def _look(self) -> None:
-        self.is_due = False
-        for _ in range(_AT_ONCE):
+    def _receive_batch(self) -> None:
+        self.is_scheduled = False
+        for _ in range(_MAX_BATCH_MESSAGES):
             if self.socket.closed:
                 return
             try:
@@ -120,21 +120,20 @@
                 self.writable()
                 return
             self.received(frames)
-        self._look_soon()
+        self._schedule_receive()
 
 
 class RequestServer:
     """Answers requests at one address.
 
-    Most are answered as they come in; those that have to wait for something
-    get a task of their own.
+    Most requests are answered immediately; each one that has to wait gets its
+    own task.
 
     Args:
         address: ``IP:PORT`` to bind.
-        codec: Messages understood.
-        serve: Returns the reply to a message, or what has to be awaited for
-            it.
-        metrics: Where requests that were dropped are counted.
+        codec: Codec of the supported messages.
+        serve: Returns the reply to a message, or an awaitable of the reply.
+        metrics: Counts dropped requests.
     """
 
     def __init__(
@@ -163,8 +162,10 @@
         self.socket.close(_LINGER_MS)
 
     def _receive(self, frames: list[bytes]) -> None:
-        is_taken = len(frames) == 3 and len(self.tasks) < _MOST_SERVED
-        message = self.codec.decode(frames[2]) if is_taken else None
+        is_accepted = (
+            len(frames) == 3 and len(self.tasks) < _MAX_CONCURRENT_REQUESTS
+        )
+        message = self.codec.decode(frames[2]) if is_accepted else None
         if message is None:
             self.metrics.count("rattanmill_requests_dropped")
             return
@@ -172,15 +173,16 @@
         try:
             reply = self.serve(message)
         except Exception as error:
-            # Raised on, it would keep others from being received.
-            _report(error)
+            # If raised further, it would stop other requests from being
+            # received.
+            _report_error(error)
             return
         if isinstance(reply, msgspec.Struct):
             self._send(sender, number, reply)
             return
         task = asyncio.create_task(self._answer(sender, number, reply))
         self.tasks.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._task_done)
 
     async def _answer(
         self, sender: bytes, number: bytes, reply: Awaitable[msgspec.Struct]
@@ -190,68 +192,69 @@
     def _send(
         self, sender: bytes, number: bytes, reply: msgspec.Struct
     ) -> None:
-        # A peer that reads nothing gets no more once its queue is full.
+        # Replies are dropped while the queue of a peer that does not read is
+        # full.
         self.socket.send([sender, number, self.codec.encode(reply)])
 
-    def _ended(self, task: asyncio.Task) -> None:
+    def _task_done(self, task: asyncio.Task) -> None:
         self.tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            _report(task.exception())
+            _report_error(task.exception())
 
 
-def _report(error: BaseException | None) -> None:
+def _report_error(error: BaseException | None) -> None:
     asyncio.get_running_loop().call_exception_handler(
         {"message": "A request failed.", "exception": error}
     )
 
 
 class _Channel:
-    """One connection to a peer; closed only once nobody waits on it."""
+    """One connection to a peer; closed once it has no pending requests."""
 
     def __init__(self, address: str) -> None:
-        self.socket = _Socket(zmq.DEALER, self._receive, self._send_late)
-        # Without it, requests queue for a peer that is down, and reach it
-        # long after their askers have given up.
+        self.socket = _Socket(zmq.DEALER, self._receive, self._send_pending)
+        # Without this option, requests queue for a peer that is down and reach
+        # it long after their timeout.
         self.socket.socket.immediate = True
         self.socket.socket.connect(f"tcp://{address}")
-        self.waiting: dict[bytes, asyncio.Future] = {}
+        self.pending: dict[bytes, asyncio.Future] = {}
         self.unsent: dict[bytes, bytes] = {}
         self.heard_at = float("-inf")
-        self.is_given_up = False
+        self.is_closing = False
 
     async def ask(self, number: bytes, data: bytes, seconds: float) -> bytes:
         """Sends a request and returns the reply.
 
         Raises:
-            TimeoutError: There was none in time.
-            zmq.ZMQError: It could not be sent.
+            TimeoutError: No reply arrived in time.
+            zmq.ZMQError: The request could not be sent.
         """
         loop = self.socket.loop
-        future = self.waiting[number] = loop.create_future()
-        timer = loop.call_later(seconds, _time_out, future)
+        future = self.pending[number] = loop.create_future()
+        timer = loop.call_later(seconds, _set_timeout, future)
         try:
-            # In order: a message that goes out may take away the sign that
-            # those before it may go out as well.
+            # Sends in order: a send may clear the event which reports that
+            # earlier messages can be sent, too.
             self.unsent[number] = data
-            self._send_late()
+            self._send_pending()
             return await future
         finally:
             timer.cancel()
-            del self.waiting[number]
+            del self.pending[number]
             self.unsent.pop(number, None)
             self._close_if_unused()
 
-    def give_up(self) -> None:
-        """Closes it once nobody waits on it any more."""
-        self.is_given_up = True
+    def close_when_unused(self) -> None:
+        """Closes the connection once it has no pending requests."""
+        self.is_closing = True
         self._close_if_unused()
 
     def _close_if_unused(self) -> None:
-        if self.is_given_up and not self.waiting:
+        if self.is_closing and not self.pending:
             self.socket.close()
 
-    def _send_late(self) -> None:
-        """Sends what had to wait for a connection, or for room."""
+    def _send_pending(self) -> None:
+        """Sends messages that waited for a connection or for queue space."""
         while self.unsent:
             number = next(iter(self.unsent))
             if not self.socket.send([number, self.unsent[number]]):
@@ -261,26 +264,26 @@
     def _receive(self, frames: list[bytes]) -> None:
         number, data = frames
         self.heard_at = self.socket.loop.time()
-        future = self.waiting.get(number)
+        future = self.pending.get(number)
         if future is not None and not future.done():
             future.set_result(data)
 
 
-def _time_out(future: asyncio.Future) -> None:
+def _set_timeout(future: asyncio.Future) -> None:
     if not future.done():
         future.set_exception(TimeoutError())
 
 
 class RequestLink:
-    """Asks one peer.
+    """Sends requests to one peer.
 
     Attributes:
-        failures: Requests in a row that got no reply.
+        failures: Number of consecutive requests without a reply.
         heard_at: Loop time of the last reply.
 
     Args:
         address: ``IP:PORT`` of the peer.
-        codec: Messages understood.
+        codec: Codec of the supported messages.
     """
 
     def __init__(self, address: str, codec: Codec) -> None:
@@ -294,19 +297,19 @@
     async def ask(self, message: msgspec.Struct, seconds: float) -> Any:
         """Returns the reply, or None if there was none in time.
 
-        None says nothing about whether the request was carried out.
+        With None, the request may or may not have been executed.
         """
         if self.channel is None:
             self.channel = _Channel(self.address)
         channel = self.channel
         number = next(self.numbers).to_bytes(8, "big")
-        asked_at = asyncio.get_running_loop().time()
+        sent_at = asyncio.get_running_loop().time()
         try:
             data = await channel.ask(
                 number, self.codec.encode(message), seconds
             )
         except (TimeoutError, zmq.ZMQError) as error:
-            self._failed(channel, message, error, asked_at)
+            self._record_failure(channel, message, error, sent_at)
             return None
         if self.failures:
             log_event("peer_back", peer=self.address, failures=self.failures)
@@ -315,22 +318,22 @@
         return self.codec.decode(data)
 
     def is_heard(self, seconds: float) -> bool:
-        """Whether the last request got a reply, so many seconds ago at most."""
+        """Whether the last request got a reply less than ``seconds`` ago."""
         silence = asyncio.get_running_loop().time() - self.heard_at
         return not self.failures and silence < seconds
 
     def close(self) -> None:
-        """Closes the connection once nobody waits for a reply on it."""
+        """Closes the connection once no request on it awaits a reply."""
         if self.channel:
-            self.channel.give_up()
+            self.channel.close_when_unused()
         self.channel = None
 
-    def _failed(
+    def _record_failure(
         self,
         channel: _Channel,
         message: msgspec.Struct,
         error: Exception,
-        asked_at: float,
+        sent_at: float,
     ) -> None:
         if not self.failures:
             log_event(
@@ -340,15 +343,15 @@
                 why=str(error) or "timeout",
             )
         self.failures += 1
-        # One that answers others is only slow.
-        if channel is self.channel and channel.heard_at < asked_at:
+        # A connection that delivers other replies is only slow and stays open.
+        if channel is self.channel and channel.heard_at < sent_at:
             self.close()
 
 
-def _bound(socket: zmq.Socket) -> None:
+def _set_options(socket: zmq.Socket) -> None:
     socket.sndhwm = _QUEUE_MESSAGES
     socket.rcvhwm = _QUEUE_MESSAGES
     socket.linger = 0
     socket.connect_timeout = _CONNECT_MS
     socket.reconnect_ivl = _RECONNECT_MS
-    socket.reconnect_ivl_max = _RECONNECT_MOST_MS
+    socket.reconnect_ivl_max = _MAX_RECONNECT_MS
