--- a/tests/features/links.feature
+++ b/tests/features/links.feature
@@ -1,97 +1,97 @@
 Feature: Requests between instances
-  Storage instances and fronts send each other some hundred small requests a
-  second. What the way there takes is most of what they take.
+  Storage instances and front ends send each other a few hundred small requests
+  a second. The transport is most of the cost of each.
 
   Scenario: Many small requests
-    A storage instance of a grown deployment answers 400 a second. Each passed
-    through three futures on each side, and that took half of its processor
-    time.
+    A storage instance of a large deployment answers 400 requests a second. Each
+    one passed through three futures on each side, which took half of the
+    instance's processor time.
 
     Given a peer that answers requests
-    When 100 requests are sent to it, one after the other
-    Then each has its own answer
+    When 100 requests are sent to it in sequence
+    Then each gets its own reply
     And the event loop took no more than 4 steps for each
 
-  Scenario: Many small requests that need no waiting
-    Signs of life, what a turn has used and what was taken in are two thirds of
-    what a storage instance is asked. Each had a task of the event loop.
+  Scenario: Many small requests that are answered immediately
+    Pings, the use of turns and reads of the change log are two thirds of the
+    requests to a storage instance. Each one had its own event loop task.
 
-    Given a peer that answers requests at once
-    When 100 requests are sent to it, one after the other
-    Then each has its own answer
+    Given a peer that answers requests immediately
+    When 100 requests are sent to it in sequence
+    Then each gets its own reply
     And the event loop took no more than 2 steps for each
 
-  Scenario: Many requests at a time
-    Answers do not come in the order of the requests; one taken for another
-    would give a permission to the wrong turn.
+  Scenario: Many concurrent requests
+    Replies arrive out of order. A reply that is matched to the wrong request
+    would give a budget reservation to the wrong turn.
 
-    Given a peer that answers requests, late ones first
-    When 50 requests are sent to it at once
-    Then each has its own answer
+    Given a peer that answers the last requests first
+    When 50 requests are sent to it concurrently
+    Then each gets its own reply
 
   Scenario: A long message
-    The chain of a long conversation comes in many pieces.
+    The chain of turns of a long conversation arrives in many pieces.
 
     Given a peer that answers requests
-    When a request and an answer of 5000000 bytes are sent
-    Then each has its own answer
+    When a request and a reply of 5000000 bytes are sent
+    Then each gets its own reply
 
-  Scenario: A peer that is not there yet
-    What was asked before it was there, and given up, must not reach it later:
-    a turn would hold a permission that nobody knows of.
+  Scenario: A peer that is not listening yet
+    A request that timed out before the peer was listening must not reach it
+    later: a turn would hold a budget reservation that no instance knows of.
 
-    Given a peer that does not listen yet
-    When it is asked in vain, and begins to listen then
-    Then it is asked for nothing
-    And the next request is answered
+    Given a peer that is not listening yet
+    When a request to it times out and it begins to listen
+    Then it received no request
+    And the next request gets a reply
 
-  Scenario: A peer that comes while it is asked
-    A storage instance starts again within milliseconds; its askers do not
-    have to begin anew.
+  Scenario: A peer that begins to listen during a request
+    A storage instance restarts within milliseconds, so its clients do not need
+    to send their requests again.
 
-    Given a peer that does not listen yet
-    When it is asked, and begins to listen meanwhile
-    Then each has its own answer
+    Given a peer that is not listening yet
+    When it begins to listen during a request
+    Then each gets its own reply
 
   Scenario: A connection that is made while a message is encoded
-    Guards against a message that waits for word of a connection which has been
-    there all along.
+    Guards against a message that waits for an event of a connection which is
+    already established.
 
     Given a peer that answers requests
     When the first requests of 400 connections take up to 1 ms to encode
-    Then each has its own answer
+    Then each gets its own reply
 
   Scenario: A connection that is made between two requests
-    Guards against a message that waits for a connection and is forgotten when
-    the next one goes out.
+    Guards against a message that waits for a connection and is not sent after
+    the next message was sent.
 
-    Given a peer that answers requests, but for some that it holds back
-    When 800 connections begin with a request and, up to 3 ms later, a held one
-    Then each has its own answer
+    Given a peer that answers all requests except those it holds
+    When 800 connections send a request and, up to 3 ms later, a held request
+    Then each gets its own reply
 
-  Scenario: A peer that starts again
-    Its connections are gone. An asker that went on with an old one would take
-    it for silent.
+  Scenario: A peer that restarts
+    Its connections are closed. A client that kept using an old one would
+    consider the peer unresponsive.
 
     Given a peer that answers requests
-    When 1 requests are sent to it, one after the other
-    And the peer starts again
-    And 1 requests are sent to it, one after the other
-    Then each has its own answer
+    When 1 requests are sent to it in sequence
+    And the peer restarts
+    And 1 requests are sent to it in sequence
+    Then each gets its own reply
 
-  Scenario: A connection that has gone silent
-    A cut swallows what is sent without a sign. The next request must not wait
-    behind it.
+  Scenario: A connection that drops all data
+    A partition drops what is sent without an error. The next request must not
+    wait behind it.
 
-    Given a peer whose first connection swallows all
-    When it is asked in vain
-    Then the next request is answered
+    Given a peer whose first connection drops all data
+    When a request to it times out
+    Then the next request gets a reply
 
   Scenario: A request that fails
-    A fault in what answers it must show, and must not take along the others
-    that wait on the same connection.
+    An exception in the handler must be reported, and must not fail the other
+    requests that wait on the same connection.
 
-    Given a peer that answers requests at once, but for one
-    When that one is sent to it in vain
-    Then the fault is reported
-    And the next request is answered
+    Given a peer that answers all requests immediately except one
+    When the excepted request is sent and times out
+    Then the exception is reported
+    And the next request gets a reply
--- a/tests/features/steps/links.py
+++ b/tests/features/steps/links.py
@@ -1,4 +1,4 @@
-"""Steps about requests between instances, over real sockets."""
+"""Steps for requests between instances, over real sockets."""
 
 import asyncio
 import contextlib
@@ -13,103 +13,107 @@
 from rattanmill_wire import RequestLink, RequestServer
 
 _SECONDS = 5.0
-_IN_VAIN_SECONDS = 0.1
-_LATE_SECONDS = 0.02
+_SHORT_TIMEOUT_SECONDS = 0.1
+_CLOSE_WAIT_SECONDS = 0.02
 _METRICS = Metrics()
 _CODEC = codec()
 
 
 class CountingLoop(asyncio.SelectorEventLoop):
-    """Counts its steps."""
+    """Event loop that counts its steps."""
 
     def __init__(self) -> None:
         super().__init__()
         self.steps = 0
 
     def call_soon(self, *args, **fields):
-        """Plans a step as usual."""
+        """Counts a step and schedules it."""
         self.steps += 1
         return super().call_soon(*args, **fields)
 
 
 class Peer:
-    """A peer that says what it was asked, and who asks it."""
+    """A server that records its requests, with a client that calls it."""
 
     def __init__(self) -> None:
         with socket.create_server(("127.0.0.1", 0)) as free:
             self.port = free.getsockname()[1]
         self.address = f"127.0.0.1:{self.port}"
         self.link = RequestLink(self.address, _CODEC)
-        self.asked: list[str] = []
-        self.answers: list[tuple[str, Fetch | None]] = []
+        self.requests: list[str] = []
+        self.replies: list[tuple[str, Fetch | None]] = []
         self.pauses: list[float] = []
         self.stack = contextlib.AsyncExitStack()
 
     async def listen(self, serve: Callable | None = None) -> None:
-        """Begins to answer."""
+        """Starts the server."""
         await self.stack.enter_async_context(
             RequestServer(self.address, _CODEC, serve or self.serve, _METRICS)
         )
 
     def answer(self, message: Fetch) -> Fetch:
-        """Answers with the text of the question."""
-        self.asked.append(message.turn)
+        """Replies immediately with the text of the request."""
+        self.requests.append(message.turn)
         return Fetch(message.turn)
 
     async def serve(self, message: Fetch) -> Fetch:
-        """The same, late."""
-        self.asked.append(message.turn)
+        """Replies with the text of the request, after a pause if set."""
+        self.requests.append(message.turn)
         if self.pauses:
             await asyncio.sleep(self.pauses.pop())
         return Fetch(message.turn)
 
     async def ask(self, text: str, seconds: float = _SECONDS) -> None:
-        """Asks and notes the answer."""
+        """Sends a request and records the reply."""
         reply = await self.link.ask(Fetch(text), seconds)
-        self.answers.append((text, reply))
+        self.replies.append((text, reply))
 
 
-class SwallowingProxy:
-    """Swallows all of its first connection and passes on the others."""
+class DroppingProxy:
+    """Drops all data of its first connection and forwards the others."""
 
     def __init__(self, port: int) -> None:
         self.port = port
         self.count = 0
         self.tasks: list[asyncio.Task] = []
 
-    def take(
+    def accept(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Takes a connection."""
+        """Accepts a connection."""
         self.count += 1
-        work = self._swallow if self.count == 1 else self._pass_on
-        self.tasks.append(asyncio.create_task(work(reader, writer)))
+        handle = self._drop if self.count == 1 else self._forward
+        self.tasks.append(asyncio.create_task(handle(reader, writer)))
 
-    async def _swallow(
+    async def _drop(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         while await reader.read(65536):
             pass
 
-    async def _pass_on(
+    async def _forward(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        there, back = await asyncio.open_connection("127.0.0.1", self.port)
-        await asyncio.gather(_pass_on(reader, back), _pass_on(there, writer))
+        upstream_reader, upstream_writer = await asyncio.open_connection(
+            "127.0.0.1", self.port
+        )
+        await asyncio.gather(
+            _forward(reader, upstream_writer), _forward(upstream_reader, writer)
+        )
 
 
-async def _pass_on(
+async def _forward(
     reader: asyncio.StreamReader, writer: asyncio.StreamWriter
 ) -> None:
     while data := await reader.read(65536):
         writer.write(data)
 
 
-def run(context, work):
-    return context.loop.run_until_complete(work)
+def run(context, coroutine):
+    return context.loop.run_until_complete(coroutine)
 
 
-def begin(context) -> Peer:
+def create_peer(context) -> Peer:
     context.loop = CountingLoop()
     context.peer = Peer()
 
@@ -128,21 +132,21 @@
 
 @given("a peer that answers requests")
 def step_peer(context):
-    run(context, begin(context).listen())
+    run(context, create_peer(context).listen())
 
 
-@given("a peer that answers requests at once")
+@given("a peer that answers requests immediately")
 def step_peer_at_once(context):
-    peer = begin(context)
+    peer = create_peer(context)
     run(context, peer.listen(peer.answer))
 
 
-@given("a peer that answers requests at once, but for one")
+@given("a peer that answers all requests immediately except one")
 def step_peer_fails(context):
-    peer = begin(context)
+    peer = create_peer(context)
     context.reported = []
     context.loop.set_exception_handler(
-        lambda loop, what: context.reported.append(what["exception"])
+        lambda loop, details: context.reported.append(details["exception"])
     )
 
     def answer(message: Fetch) -> Fetch:
@@ -152,45 +156,45 @@
 
     run(context, peer.listen(answer))
     run(context, peer.ask("first"))
-    peer.answers.clear()
+    peer.replies.clear()
 
 
-@when("that one is sent to it in vain")
+@when("the excepted request is sent and times out")
 def step_fails(context):
     async def ask() -> None:
-        failing = context.peer.link.ask(Fetch("fails"), _IN_VAIN_SECONDS)
-        # One that answers others is only slow: the connection stays.
-        said = await asyncio.gather(failing, context.peer.ask("beside"))
-        assert said[0] is None, said
+        failing = context.peer.link.ask(Fetch("fails"), _SHORT_TIMEOUT_SECONDS)
+        # A connection that delivers other replies is only slow and stays open.
+        replies = await asyncio.gather(failing, context.peer.ask("beside"))
+        assert replies[0] is None, replies
 
     run(context, ask())
-    context.peer.answers.clear()
+    context.peer.replies.clear()
 
 
-@then("the fault is reported")
+@then("the exception is reported")
 def step_reported(context):
     assert [str(error) for error in context.reported] == ["fails"]
 
 
-@given("a peer that answers requests, late ones first")
+@given("a peer that answers the last requests first")
 def step_late_first(context):
-    run(context, begin(context).listen())
+    run(context, create_peer(context).listen())
     context.peer.pauses = [n / 1000 for n in range(50)]
 
 
-@given("a peer that does not listen yet")
+@given("a peer that is not listening yet")
 def step_absent(context):
-    begin(context)
+    create_peer(context)
 
 
-@given("a peer whose first connection swallows all")
-def step_swallows(context):
-    peer = begin(context)
+@given("a peer whose first connection drops all data")
+def step_drops(context):
+    peer = create_peer(context)
 
     async def start() -> None:
         await peer.listen()
-        proxy = SwallowingProxy(peer.port)
-        server = await asyncio.start_server(proxy.take, "127.0.0.1", 0)
+        proxy = DroppingProxy(peer.port)
+        server = await asyncio.start_server(proxy.accept, "127.0.0.1", 0)
         peer.stack.callback(server.close)
         port = server.sockets[0].getsockname()[1]
         peer.link = RequestLink(f"127.0.0.1:{port}", _CODEC)
@@ -198,7 +202,7 @@
     run(context, start())
 
 
-@when("{count:d} requests are sent to it, one after the other")
+@when("{count:d} requests are sent to it in sequence")
 def step_in_turn(context, count):
     async def ask() -> None:
         await context.peer.ask("first")
@@ -210,7 +214,7 @@
     run(context, ask())
 
 
-@when("{count:d} requests are sent to it at once")
+@when("{count:d} requests are sent to it concurrently")
 def step_at_once(context, count):
     async def ask() -> None:
         asks = (context.peer.ask(f"t{number}") for number in range(count))
@@ -219,48 +223,48 @@
     run(context, ask())
 
 
-@when("a request and an answer of {size:d} bytes are sent")
+@when("a request and a reply of {size:d} bytes are sent")
 def step_long(context, size):
     run(context, context.peer.ask("x" * size))
 
 
-@when("it is asked in vain, and begins to listen then")
+@when("a request to it times out and it begins to listen")
 def step_listen_then(context):
     async def ask() -> None:
-        await context.peer.ask("in vain", _IN_VAIN_SECONDS)
+        await context.peer.ask("timed out", _SHORT_TIMEOUT_SECONDS)
         await context.peer.listen()
-        await asyncio.sleep(2 * _IN_VAIN_SECONDS)
+        await asyncio.sleep(2 * _SHORT_TIMEOUT_SECONDS)
 
     run(context, ask())
-    assert context.peer.answers.pop() == ("in vain", None)
+    assert context.peer.replies.pop() == ("timed out", None)
 
 
-@when("it is asked, and begins to listen meanwhile")
+@when("it begins to listen during a request")
 def step_listen_meanwhile(context):
     async def ask() -> None:
         asked = asyncio.create_task(context.peer.ask("early"))
-        await asyncio.sleep(_IN_VAIN_SECONDS)
+        await asyncio.sleep(_SHORT_TIMEOUT_SECONDS)
         await context.peer.listen()
         await asked
 
     run(context, ask())
 
 
-@when("it is asked in vain")
-def step_in_vain(context):
-    run(context, context.peer.ask("in vain", _IN_VAIN_SECONDS))
-    assert context.peer.answers.pop() == ("in vain", None)
+@when("a request to it times out")
+def step_times_out(context):
+    run(context, context.peer.ask("timed out", _SHORT_TIMEOUT_SECONDS))
+    assert context.peer.replies.pop() == ("timed out", None)
 
 
 class SlowCodec:
-    """Takes its time to encode, during which the event loop stands still."""
+    """Codec that blocks the event loop for a time while it encodes."""
 
     def __init__(self, seconds: float) -> None:
         self.seconds = seconds
         self.decode = _CODEC.decode
 
     def encode(self, message: Fetch) -> bytes:
-        """Encodes a message."""
+        """Encodes a message after the delay."""
         time.sleep(self.seconds)
         return _CODEC.encode(message)
 
@@ -277,9 +281,9 @@
         run(context, ask(number / count / 1000))
 
 
-@given("a peer that answers requests, but for some that it holds back")
+@given("a peer that answers all requests except those it holds")
 def step_peer_holds(context):
-    peer = begin(context)
+    peer = create_peer(context)
 
     async def serve(message: Fetch) -> Fetch:
         if message.turn == "held":
@@ -290,12 +294,11 @@
 
 
 @when(
-    "{count:d} connections begin with a request and, up to 3 ms later, a held"
-    " one"
+    "{count:d} connections send a request and, up to 3 ms later, a held request"
 )
 def step_begin_held(context, count):
-    async def stand_still(seconds: float) -> None:
-        # Not asleep: the end of that is too late for most connections.
+    async def block_loop(seconds: float) -> None:
+        # Busy waiting: a sleep would end too late for most connections.
         until = time.perf_counter() + seconds
         while time.perf_counter() < until:
             pass
@@ -304,9 +307,9 @@
         peer = context.peer
         peer.link = RequestLink(peer.address, _CODEC)
         first = asyncio.create_task(peer.ask("first"))
-        still = asyncio.create_task(stand_still(seconds))
+        blocker = asyncio.create_task(block_loop(seconds))
         held = asyncio.create_task(peer.link.ask(Fetch("held"), _SECONDS))
-        await asyncio.gather(first, still)
+        await asyncio.gather(first, blocker)
         held.cancel()
         await asyncio.gather(held, return_exceptions=True)
         peer.link.close()
@@ -315,36 +318,36 @@
         run(context, ask(3 * number / count / 1000))
 
 
-@when("the peer starts again")
-def step_start_again(context):
-    async def start_again() -> None:
+@when("the peer restarts")
+def step_restart(context):
+    async def restart() -> None:
         await context.peer.stack.aclose()
-        # The kernel tells of the end before anything new is asked.
-        await asyncio.sleep(_LATE_SECONDS)
+        # Lets the kernel report the closed connections before the next request.
+        await asyncio.sleep(_CLOSE_WAIT_SECONDS)
         await context.peer.listen()
 
-    run(context, start_again())
+    run(context, restart())
 
 
-@then("each has its own answer")
+@then("each gets its own reply")
 def step_own_answer(context):
-    answers = context.peer.answers
-    assert answers
-    wrong = [(text, said) for text, said in answers if said != Fetch(text)]
+    replies = context.peer.replies
+    assert replies
+    wrong = [(text, reply) for text, reply in replies if reply != Fetch(text)]
     assert not wrong, wrong
 
 
-@then("the event loop took no more than {most:d} steps for each")
-def step_steps(context, most):
-    assert context.per_request <= most, context.per_request
+@then("the event loop took no more than {max_steps:d} steps for each")
+def step_steps(context, max_steps):
+    assert context.per_request <= max_steps, context.per_request
 
 
-@then("it is asked for nothing")
+@then("it received no request")
 def step_nothing(context):
-    assert context.peer.asked == [], context.peer.asked
+    assert context.peer.requests == [], context.peer.requests
 
 
-@then("the next request is answered")
+@then("the next request gets a reply")
 def step_next_answered(context):
     run(context, context.peer.ask("next"))
-    assert context.peer.answers == [("next", Fetch("next"))]
+    assert context.peer.replies == [("next", Fetch("next"))]
