--- a/libs/wire/src/rattanmill_wire/peers.py
+++ b/libs/wire/src/rattanmill_wire/peers.py
@@ -73,7 +73,7 @@
         ) from error
 
 
-class _Stream:
+class _ReplyStream:
     """Received replies of one forwarded call that are not yet read."""
 
     def __init__(self) -> None:
@@ -87,10 +87,10 @@
         self.hub = hub
         self.name = name
         self.address = address
-        self.streams: dict[str, _Stream] = {}
+        self.streams: dict[str, _ReplyStream] = {}
         self.heard = 0.0
         self.socket = hub.context.socket(zmq.DEALER)
-        hub.secure(self.socket)
+        hub.configure_socket(self.socket)
         self.socket.curve_serverkey = hub.secret.public
         self.socket.routing_id = f"{hub.name}:{new_id()}".encode()
         # Binds the source address so that connections can be distinguished
@@ -141,7 +141,7 @@
                 now. A dead owner sends nothing; waiting for the timeout would
                 delay calls that its successor could answer.
         """
-        stream = _Stream()
+        stream = _ReplyStream()
         self.streams[start.call] = stream
         finished = False
         expected = 0
@@ -174,7 +174,7 @@
 
     async def _next_reply(
         self,
-        stream: _Stream,
+        stream: _ReplyStream,
         start: CallStart,
         has_moved: Callable[[], bool],
     ) -> Reply:
@@ -208,7 +208,7 @@
     return ReplyRefused(start.call, refuse(Reason.ANSWER_CUT, detail))
 
 
-class _Served:
+class _ServedCall:
     """Call from another instance that this instance is serving."""
 
     def __init__(self) -> None:
@@ -251,10 +251,10 @@
         self.bytes_in = 0
         self.bytes_out = 0
         self.peers: dict[str, Peer] = {}
-        self.served: dict[tuple[bytes, str], _Served] = {}
+        self.served: dict[tuple[bytes, str], _ServedCall] = {}
         self.task: asyncio.Task | None = None
 
-    def secure(self, socket: zmq.asyncio.Socket) -> None:
+    def configure_socket(self, socket: zmq.asyncio.Socket) -> None:
         """Sets the keys, queue limits and timeouts of a socket."""
         socket.curve_secretkey = self.secret.secret
         socket.curve_publickey = self.secret.public
@@ -267,7 +267,7 @@
 
     async def __aenter__(self) -> Self:
         self.router = self.context.socket(zmq.ROUTER)
-        self.secure(self.router)
+        self.configure_socket(self.router)
         self.router.curve_server = True
         # Without this option, a message to a peer whose queue is full is
         # dropped silently, and its caller would wait for a lost chunk.
@@ -321,7 +321,7 @@
                         "rattanmill_peer_dropped", why="undecodable"
                     )
                 case CallStart():
-                    served = _Served()
+                    served = _ServedCall()
                     self.served[sender, message.call] = served
                     served.task = asyncio.create_task(
                         self._serve(sender, message, served)
@@ -356,7 +356,7 @@
         return True
 
     async def _serve(
-        self, sender: bytes, start: CallStart, served: _Served
+        self, sender: bytes, start: CallStart, served: _ServedCall
     ) -> None:
         replies = self.serve(start)
         try:
@@ -366,7 +366,7 @@
             self.served.pop((sender, start.call), None)
 
     async def _send_replies(
-        self, sender: bytes, replies: AsyncIterator[Reply], served: _Served
+        self, sender: bytes, replies: AsyncIterator[Reply], served: _ServedCall
     ) -> None:
         async with contextlib.aclosing(replies):
             async for reply in replies:
