--- a/libs/core/src/rattanmill_core/__init__.py
+++ b/libs/core/src/rattanmill_core/__init__.py
@@ -1,4 +1,4 @@
-"""What every part of rattanmill shares: errors, refusals, ids, settings."""
+"""Code shared by all rattanmill packages: errors, refusals, ids, settings."""
 
 from rattanmill_core.config import (
     ConfigDocument,
--- a/libs/core/src/rattanmill_core/config.py
+++ b/libs/core/src/rattanmill_core/config.py
@@ -1,7 +1,7 @@
-"""The operators' configuration document: classes of work and their targets.
+"""The operators' configuration document: work classes and their targets.
 
-One versioned document holds everything that operators decide. It is kept in
-the key-value service and replaced as a whole by compare-and-swap.
+One versioned document holds all settings that operators control. It is stored
+in the key-value service and replaced as a whole by compare-and-swap.
 """
 
 from typing import Annotated
@@ -34,16 +34,18 @@
 
 
 class WorkClass(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
-    """A class of work and the target operators state for it.
+    """A class of work, with its target and limits.
 
     Attributes:
-        target_seconds: Target for the latency of a whole program.
-        target_percent: Share of programs that should finish within it.
-        wasted_cache_share: Highest share of prompt tokens computed again.
-        max_turns: Most turns of one program.
-        max_tokens: Most tokens of one program.
-        max_seconds: Longest life of one program.
-        max_repeats: How often in a row the same call may be made.
+        target_seconds: Target latency of a whole program, in seconds.
+        target_percent: Percentage of programs that should finish within
+            ``target_seconds``.
+        wasted_cache_share: Maximum fraction of prompt tokens that are
+            recomputed.
+        max_turns: Maximum number of turns of one program.
+        max_tokens: Maximum number of tokens of one program.
+        max_seconds: Maximum lifetime of one program, in seconds.
+        max_repeats: Maximum number of consecutive identical calls.
     """
 
     target_seconds: Seconds = 60.0
@@ -56,7 +58,7 @@
 
 
 class DomainPlan(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
-    """Number of shards into which a failure domain's programs fall."""
+    """Number of shards among which a domain's programs are divided."""
 
     shards: Shards = 6
 
@@ -65,14 +67,14 @@
     """The whole configuration.
 
     Attributes:
-        number: Grows by one with each accepted change.
-        change: Unique id of the change that made this document.
-        operator: Who made the change, by their own account.
-        applied: When it was accepted, in seconds since the epoch.
-        classes: Classes of work by name.
-        default_class: Class of calls that name none.
+        number: Version, incremented by one with each accepted change.
+        change: Unique id of the change that produced this document.
+        operator: Self-declared name of the operator who made the change.
+        applied: Time of acceptance, in seconds since the epoch.
+        classes: Work classes by name.
+        default_class: Class of calls that specify none.
         domains: Failure domains by name.
-        drained: Names of endpoints that take no new work.
+        drained: Names of endpoints that receive no new work.
     """
 
     number: Annotated[int, msgspec.Meta(ge=0)] = 0
@@ -88,17 +90,17 @@
 
 
 def default_config(domains: list[str]) -> ConfigDocument:
-    """Returns the document in force before operators have applied one."""
+    """Returns the document in force until operators apply one."""
     return ConfigDocument(domains={name: DomainPlan() for name in domains})
 
 
 def encode_config(document: ConfigDocument) -> bytes:
-    """Returns the JSON form."""
+    """Encodes the document as JSON."""
     return msgspec.json.encode(document)
 
 
 def decode_config(data: bytes) -> ConfigDocument | list[str]:
-    """Returns the document, or every error found in ``data``."""
+    """Decodes a JSON document; returns it, or all errors in ``data``."""
     try:
         plain = msgspec.json.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
@@ -107,17 +109,20 @@
 
 
 def read_config(plain: object) -> ConfigDocument | list[str]:
-    """Returns the document that plain tables make, or every error in them.
+    """Converts plain tables to a document and checks it.
 
     Args:
-        plain: Tables, lists and values, as JSON or TOML is read.
+        plain: Tables, lists and values, as read from JSON or TOML.
+
+    Returns:
+        The document, or one message for each error.
     """
     read = read_struct(plain, ConfigDocument)
     return read if isinstance(read, list) else check_config(read) or read
 
 
 def check_config(document: ConfigDocument) -> list[str]:
-    """Returns a sentence for each value that does not fit the others."""
+    """Returns a message for each value that is inconsistent with others."""
     if document.default_class in document.classes:
         return []
     names = ", ".join(sorted(document.classes)) or "(there are none)"
--- a/libs/core/src/rattanmill_core/errors.py
+++ b/libs/core/src/rattanmill_core/errors.py
@@ -1,15 +1,15 @@
-"""The exception tree: wrong settings, wrong usage and broken invariants.
+"""Exceptions: invalid settings, invalid usage and broken invariants.
 
-Outcomes of requests are values (see ``refusal``); only these stop a process.
-Each has an exit code of its own, which docs/operators/cli.md lists.
+Outcomes of requests are values (see ``refusal``); only these exceptions stop
+a process. Each has its own exit code, listed in docs/operators/cli.md.
 """
 
 
 class RattanmillError(Exception):
-    """Root of the tree.
+    """Base class of all rattanmill exceptions.
 
     Attributes:
-        exit_code: What a process that stops on this error exits with.
+        exit_code: Exit code of a process that stops on this error.
         message: One or more lines for the person who started the process.
     """
 
@@ -21,31 +21,31 @@
 
 
 class UsageError(RattanmillError):
-    """A command was given arguments that it cannot work with."""
+    """A command received invalid arguments."""
 
     exit_code = 2
 
 
 class SettingsError(RattanmillError):
-    """A settings or configuration file is missing, unreadable or wrong."""
+    """A settings or configuration file is missing, unreadable or invalid."""
 
     exit_code = 3
 
 
 class UnreachableError(RattanmillError):
-    """No answer came from the instance that a command talks to."""
+    """The instance that a command connects to did not reply."""
 
     exit_code = 4
 
 
 class RefusedError(RattanmillError):
-    """An instance refused what a command asked."""
+    """An instance refused the request of a command."""
 
     exit_code = 5
 
 
 class ConflictError(RefusedError):
-    """Another operator's change came first."""
+    """Another operator's change was applied first."""
 
     exit_code = 6
 
@@ -57,6 +57,6 @@
 
 
 class InvariantError(RattanmillError):
-    """The process found its own state to be impossible and must stop."""
+    """The process detected an impossible state and must stop."""
 
     exit_code = 70
--- a/libs/core/src/rattanmill_core/events.py
+++ b/libs/core/src/rattanmill_core/events.py
@@ -1,8 +1,9 @@
-"""Structured log lines: one for each decision and change of belief.
+"""Structured log lines, one for each decision and change of known state.
 
-Lines go to standard output as JSON, by loguru like all other logs. Their
-number is bounded, decisions before errors, and what is left out is counted;
-a reader that does not keep up never blocks the event loop.
+Lines are written to standard output as JSON through loguru, like all other
+logs. Their rate is limited, with a lower priority for decisions than for
+errors, and dropped lines are counted. A slow reader never blocks the event
+loop.
 """
 
 import asyncio
@@ -16,24 +17,24 @@
 if TYPE_CHECKING:
     from loguru import Message
 
-# A front at its peak of about 120 calls a second, programs that loop among
-# them, writes 4 or 5 lines a call; more means a fault that repeats itself, and
-# the first lines tell its cause.
-_LINES_PER_SECOND = 600
-_ERRORS_PER_SECOND = 300
-# Whoever looks for a failed request's cause begins with these; they have the
-# errors' part of the lines, so that decisions cannot push them out.
-_LAST_TO_GO = frozenset(("refused", "broken_off"))
-_MOST_BUFFERED_BYTES = 256 * 1024
-_STDOUT = 1
-_WARNING = 30
+# A front end at its peak of about 120 calls per second, including programs in
+# a loop, writes 4 or 5 lines per call. A higher rate means a recurring fault,
+# and the first lines show its cause.
+_MAX_LINES_PER_SECOND = 600
+_MAX_ERRORS_PER_SECOND = 300
+# The search for the cause of a failed request starts with these events. They
+# count against the limit for errors, so that decisions cannot displace them.
+_PRIORITY_EVENTS = frozenset(("refused", "broken_off"))
+_MAX_BUFFERED_BYTES = 256 * 1024
+_STDOUT_DESCRIPTOR = 1
+_WARNING_LEVEL = 30
 
 
 class LineBudget:
-    """Lines that may still be written in the present second.
+    """Limits the number of lines written per second.
 
     Attributes:
-        dropped: Lines left out since the last report.
+        dropped: Number of lines dropped since the last report.
     """
 
     def __init__(self, per_second: int) -> None:
@@ -43,7 +44,7 @@
         self.dropped = 0
 
     def take(self, second: int) -> bool:
-        """Whether one more line fits into this second."""
+        """Consumes one line; returns False if the limit is reached."""
         if second != self.second:
             self.second = second
             self.left = self.per_second
@@ -55,28 +56,28 @@
 
 
 class LineWriter:
-    """Writes lines to a descriptor without ever waiting for its reader.
+    """Writes lines to a file descriptor without blocking on its reader.
 
     Args:
-        descriptor: Where the lines go.
-        instance: Name of this instance, part of every line.
+        descriptor: File descriptor to write to.
+        instance: Name of this instance, included in every line.
     """
 
     def __init__(self, descriptor: int, instance: str) -> None:
         self.descriptor = descriptor
         self.instance = instance
-        self.decisions = LineBudget(_LINES_PER_SECOND)
-        self.errors = LineBudget(_ERRORS_PER_SECOND)
+        self.decisions = LineBudget(_MAX_LINES_PER_SECOND)
+        self.errors = LineBudget(_MAX_ERRORS_PER_SECOND)
         self.buffer = bytearray()
         os.set_blocking(descriptor, False)
 
     def __call__(self, message: "Message") -> None:
-        """Takes one record of loguru."""
+        """Writes one loguru record, unless the limit is reached."""
         record = message.record
         now = record["time"].timestamp()
-        is_error = record["level"].no >= _WARNING
-        is_last = is_error or record["message"] in _LAST_TO_GO
-        budget = self.errors if is_last else self.decisions
+        is_error = record["level"].no >= _WARNING_LEVEL
+        has_priority = is_error or record["message"] in _PRIORITY_EVENTS
+        budget = self.errors if has_priority else self.decisions
         if not budget.take(int(now)):
             return
         self._report_dropped(now)
@@ -86,7 +87,7 @@
             fields = {"part": extra["part"]}
         if record["exception"]:
             fields = {**fields, "exception": str(message)[-2000:]}
-        self._line(now, record["level"].name, record["message"], fields)
+        self._write_line(now, record["level"].name, record["message"], fields)
 
     def _report_dropped(self, now: float) -> None:
         dropped = self.decisions.dropped + self.errors.dropped
@@ -94,9 +95,11 @@
             return
         self.decisions.dropped = 0
         self.errors.dropped = 0
-        self._line(now, "WARNING", "log_lines_dropped", {"count": dropped})
+        self._write_line(
+            now, "WARNING", "log_lines_dropped", {"count": dropped}
+        )
 
-    def _line(
+    def _write_line(
         self, now: float, level: str, event: str, fields: dict[str, Any]
     ) -> None:
         line = {
@@ -114,12 +117,13 @@
             written = os.write(self.descriptor, self.buffer)
             del self.buffer[:written]
         except BlockingIOError:
-            if len(self.buffer) > _MOST_BUFFERED_BYTES:
-                # The reader has stopped: old lines go, new ones tell more.
+            if len(self.buffer) > _MAX_BUFFERED_BYTES:
+                # The reader has stopped: drop the old lines, since new ones are
+                # more useful.
                 self.errors.dropped += self.buffer.count(b"\n")
                 self.buffer.clear()
         except OSError:
-            # The reader is gone; there is nobody left to tell.
+            # The reader has closed the stream.
             self.buffer.clear()
 
 
@@ -127,7 +131,7 @@
     """Sends all logs of this process to standard output as JSON lines."""
     logger.remove()
     logger.add(
-        LineWriter(_STDOUT, instance),
+        LineWriter(_STDOUT_DESCRIPTOR, instance),
         level=level,
         format="{message}",
         diagnose=False,
@@ -136,30 +140,31 @@
 
 
 def log_event(event: str, **fields: Any) -> None:
-    """Writes one line for a decision or a change of belief.
+    """Logs a decision or a change of known state.
 
     Args:
-        event: Its name; docs/LOGS.md lists all.
-        fields: What decided it. Ages end with ``_s``, times with ``_ms``.
+        event: Name of the event, as listed in docs/LOGS.md.
+        fields: Values behind the decision. Names of ages end with ``_s``,
+            names of times with ``_ms``.
     """
     logger.bind(fields=fields).info(event)
 
 
 def warn_event(event: str, **fields: Any) -> None:
-    """As ``log_event``, for what an operator should look at."""
+    """Like ``log_event``, for events that an operator should examine."""
     logger.bind(fields=fields).warning(event)
 
 
 def loop_seconds() -> float:
-    """Returns the running loop's time, for spans within the process."""
+    """Returns the event loop's time, for durations within the process."""
     return asyncio.get_running_loop().time()
 
 
 def boot_seconds() -> float:
-    """Returns seconds of a clock that also runs while a machine is asleep."""
+    """Returns the time of a clock that also runs while suspended."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 def wall_seconds() -> float:
-    """Returns seconds since 1970, for expiry that outlives the process."""
+    """Returns seconds since the epoch, for expiry across restarts."""
     return time.time()
--- a/libs/core/src/rattanmill_core/ids.py
+++ b/libs/core/src/rattanmill_core/ids.py
@@ -8,12 +8,12 @@
 
 
 class ProgramId(msgspec.Struct, frozen=True):
-    """A program's id, which names the shard that owns the program.
+    """Id of a program, which includes the shard that owns it.
 
     Attributes:
         domain: Failure domain in which the program was created.
         shard: Shard number within the domain.
-        token: Random part, unguessable.
+        token: Unguessable random part.
     """
 
     domain: str
@@ -25,7 +25,7 @@
 
 
 def parse_program_id(text: str) -> ProgramId | None:
-    """Returns the id written in ``text``, or None if it is not one."""
+    """Parses a program id; returns None if ``text`` is not valid."""
     parts = text.split(".")
     if len(parts) != 3 or not all(parts) or not parts[1].isdecimal():
         return None
--- a/libs/core/src/rattanmill_core/instance.py
+++ b/libs/core/src/rattanmill_core/instance.py
@@ -1,22 +1,23 @@
-"""What a process of the system learns from its settings."""
+"""Settings that the processes of an instance share."""
 
 import msgspec
 
 
 class InstanceSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """Settings of a front or storage process, whatever file they come from.
+    """Settings of a front end or storage process, from any source.
 
     Attributes:
         name: Name of this instance.
-        domain: Its failure domain.
-        ip: Its address.
-        store: ``IP:PORT`` of the platform's store.
-        peer: ``IP:PORT`` for requests of other instances.
+        domain: Failure domain of this instance.
+        ip: IP address of this instance.
+        store: ``IP:PORT`` of the platform store.
+        peer: ``IP:PORT`` for requests from other instances.
         callers: ``IP:PORT`` for callers, or empty.
-        readiness: ``IP:PORT`` for the balancer's question, or empty.
-        data_folder: Folder on its disk, or empty.
-        first_start: Whether the whole system starts for the first time.
-        lost_disks: Disks that may be lost at once without loss of data.
+        readiness: ``IP:PORT`` for the load balancer's readiness check, or
+            empty.
+        data_folder: Folder on the local disk, or empty.
+        first_start: Whether this is the first start of the whole system.
+        lost_disks: Number of disks that may fail at once without data loss.
         grace_seconds: Time between SIGTERM and SIGKILL.
     """
 
--- a/libs/core/src/rattanmill_core/loops.py
+++ b/libs/core/src/rattanmill_core/loops.py
@@ -1,4 +1,4 @@
-"""Tasks that must run for as long as their part does."""
+"""Background tasks that must run as long as their component."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -7,23 +7,24 @@
 
 
 def start_loop(name: str, work: Coroutine) -> asyncio.Task:
-    """Starts a task whose end, other than by being cancelled, is a fault.
+    """Starts a task that must not end except by cancellation.
 
-    A lease that is not renewed any more, or a view that follows nothing,
-    shows only much later and elsewhere: turns are refused, calls go to owners
-    that have moved. So the end is reported at once, as a broken invariant, to
-    the event loop's exception handler, and the daemon stops on it.
+    A lease that is no longer renewed, or a view that is no longer updated, has
+    effects only much later and elsewhere: turns are refused, and calls go to
+    previous owners. The end of the task is therefore reported immediately to
+    the event loop's exception handler, as a broken invariant, and the daemon
+    stops.
 
     Args:
-        name: What the task keeps going, for the message.
-        work: Runs until it is cancelled.
+        name: Name of the task's purpose, for the error message.
+        work: Coroutine that runs until it is cancelled.
     """
     task = asyncio.create_task(work)
-    task.add_done_callback(lambda ended: _report(name, ended))
+    task.add_done_callback(lambda ended: _report_end(name, ended))
     return task
 
 
-def _report(name: str, task: asyncio.Task) -> None:
+def _report_end(name: str, task: asyncio.Task) -> None:
     if task.cancelled():
         return
     error = InvariantError(f"The loop of the {name} has ended.")
--- a/libs/core/src/rattanmill_core/metrics.py
+++ b/libs/core/src/rattanmill_core/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics by OpenTelemetry, exposed in the Prometheus text format."""
+"""OpenTelemetry metrics, exposed in the Prometheus text format."""
 
 from collections.abc import Callable, Iterable
 
@@ -18,21 +18,21 @@
 
 from rattanmill_core.refusal import Refusal
 
-_SHORT_SECONDS = (0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5)
-_LONG_SECONDS = (1, 2, 5, 10, 20, 50, 100, 200, 500)
+_SHORT_BUCKETS_SECONDS = (0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5)
+_LONG_BUCKETS_SECONDS = (1, 2, 5, 10, 20, 50, 100, 200, 500)
 
 
 class Metrics:
-    """The instruments of one process.
+    """The metric instruments of one process.
 
-    Instruments are made on first use; names are listed in docs/METRICS.md.
+    Instruments are created on first use; names are listed in docs/METRICS.md.
     """
 
     def __init__(self) -> None:
         view = View(
             instrument_name="*_seconds",
             aggregation=ExplicitBucketHistogramAggregation(
-                (*_SHORT_SECONDS, *_LONG_SECONDS)
+                (*_SHORT_BUCKETS_SECONDS, *_LONG_BUCKETS_SECONDS)
             ),
         )
         self.provider = MeterProvider(
@@ -59,12 +59,12 @@
         histogram.record(seconds, labels)
 
     def gauge(self, name: str, read: Callable[[], float]) -> None:
-        """Shows what ``read`` returns when metrics are asked for."""
-        self.meter.create_observable_gauge(name, [_observer(read)])
+        """Registers a gauge that calls ``read`` at each collection."""
+        self.meter.create_observable_gauge(name, [_create_callback(read)])
 
     def total(self, name: str, read: Callable[[], float]) -> None:
-        """Shows a total that its owner counts, such as bytes of a link."""
-        self.meter.create_observable_counter(name, [_observer(read)])
+        """Registers a counter whose total ``read`` returns, such as bytes."""
+        self.meter.create_observable_counter(name, [_create_callback(read)])
 
     def refused(self, refusal: Refusal) -> None:
         """Counts a refusal sent to a caller, by reason."""
@@ -79,7 +79,7 @@
         return generate_latest(REGISTRY)
 
 
-def _observer(
+def _create_callback(
     read: Callable[[], float],
 ) -> Callable[[CallbackOptions], Iterable[Observation]]:
     def observe(options: CallbackOptions) -> Iterable[Observation]:
--- a/libs/core/src/rattanmill_core/notes.py
+++ b/libs/core/src/rattanmill_core/notes.py
@@ -1,4 +1,4 @@
-"""What instances tell each other about endpoints and crashing requests."""
+"""Notes that instances exchange on endpoints and crashing requests."""
 
 import enum
 
@@ -6,7 +6,7 @@
 
 
 class Sign(enum.StrEnum):
-    """What made an endpoint's state change."""
+    """Cause of a change in an endpoint's state."""
 
     LISTED = "listed"
     UNLISTED = "unlisted"
@@ -19,12 +19,12 @@
 
 
 class Aspect(enum.StrEnum):
-    """Which question about an endpoint is answered.
+    """Aspect of an endpoint's state that a note describes.
 
-    ``DEPARTURE``: whether it is leaving, which the endpoint or the platform
-    says and which is the same for everybody. ``REACH``: whether it does its
-    work when called from one failure domain; another domain may find
-    otherwise while the two are cut off from each other.
+    ``DEPARTURE``: whether it is leaving, as reported by the endpoint or the
+    platform; this is the same for all instances. ``REACH``: whether it works
+    when called from one failure domain; the result may differ in another
+    domain during a partition between the two.
     """
 
     DEPARTURE = "departure"
@@ -36,10 +36,11 @@
 
     Attributes:
         endpoint: Name of the endpoint.
-        aspect: What the note is about.
-        generation: Grows with each change; a note with a lower one is stale.
-        closed: Whether it gets no new work.
-        sign: What was seen.
+        aspect: Aspect that the note describes.
+        generation: Increases with each change; a note with a lower
+            generation is stale.
+        closed: Whether the endpoint is closed to new work.
+        sign: Cause of the change.
     """
 
     endpoint: str
@@ -56,7 +57,7 @@
         fingerprint: Digest of the request.
         endpoint: The endpoint that crashed; empty for a finished run.
         at: Time in milliseconds since the epoch.
-        request: First of the fingerprints of the same request.
+        request: First fingerprint of the same request.
     """
 
     fingerprint: bytes
--- a/libs/core/src/rattanmill_core/operators.py
+++ b/libs/core/src/rattanmill_core/operators.py
@@ -1,4 +1,4 @@
-"""Answers of the operators' interface, as instances and commands share them."""
+"""Responses of the operator API, shared by instances and commands."""
 
 import msgspec
 
@@ -16,16 +16,17 @@
 
 
 class PeerStatus(msgspec.Struct):
-    """An instance as another one knows it.
+    """An instance as another one sees it.
 
     Attributes:
         name: Name.
         domain: Failure domain.
         http: Address for callers and operators.
-        registered: Whether its lease is held, as far as is known.
-        config_number: Configuration it last said to have in force; None if
-            it was not heard since the answering instance started.
-        heard_seconds: Time since it was last heard, or None.
+        registered: Whether its lease is held, as far as known.
+        config_number: Number of the configuration in force that it last
+            reported; None if the responding instance has received no
+            heartbeat from it since its own start.
+        heard_seconds: Seconds since its last heartbeat, or None.
     """
 
     name: str
@@ -37,18 +38,19 @@
 
 
 class InstanceStatus(msgspec.Struct):
-    """What an instance answers to ``GET /v1/admin/status``.
+    """Response of an instance to ``GET /v1/admin/status``.
 
     Attributes:
         name: Name.
         domain: Failure domain.
         incarnation: Random id of this run of the process.
         config_number: Number of the configuration in force here.
-        lease: ``held``, ``outage`` (held on its peers' word) or ``lapsed``.
+        lease: ``held``, ``outage`` (held by confirmation of its peers during
+            an outage of the store) or ``lapsed``.
         draining: Whether it is shutting down.
         shards: Shards it owns.
-        programs: Programs it holds.
-        instances: All instances it knows, itself among them.
+        programs: Number of programs it holds.
+        instances: All instances it knows, including itself.
         owners: Owner of each shard, by failure domain.
     """
 
@@ -68,9 +70,9 @@
     """Which instances have a configuration in force.
 
     Attributes:
-        number: Number asked about.
+        number: Number of the configuration requested.
         in_force: Names of instances that have it or a later one.
-        not_reached: The others, with what is known of them.
+        not_reached: The other instances, with their last known state.
     """
 
     number: int
@@ -82,10 +84,10 @@
     """One accepted change of the configuration.
 
     Attributes:
-        number: Number it was given.
-        change: Its unique change id.
-        operator: Who made it, by their own account.
-        applied: When it was accepted, in seconds since the epoch.
+        number: Number assigned to the configuration.
+        change: Unique id of the change.
+        operator: Self-declared name of the operator who made it.
+        applied: Time of acceptance, in seconds since the epoch.
     """
 
     number: int
--- a/libs/core/src/rattanmill_core/process.py
+++ b/libs/core/src/rattanmill_core/process.py
@@ -1,4 +1,4 @@
-"""What every process does: signals, its metrics' address, its last error."""
+"""Code for every process: signals, metrics server, fatal errors."""
 
 import asyncio
 import signal
@@ -14,11 +14,11 @@
 
 
 class Signals:
-    """Signals of this process.
+    """Handles signals and fatal errors of this process.
 
     Attributes:
-        stop: Set when the process is to end.
-        broken: The broken invariant that ends it, if one does.
+        stop: Set when the process should stop.
+        broken: The broken invariant that stops the process, or None.
     """
 
     def __init__(self) -> None:
@@ -26,7 +26,7 @@
         self.broken: InvariantError | None = None
 
     def install(self, on_reload: Callable[[], None]) -> None:
-        """Listens for signals and for the end of tasks that must not end."""
+        """Installs handlers for signals and for unexpected ends of tasks."""
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self._stop, number.name)
--- a/libs/core/src/rattanmill_core/refusal.py
+++ b/libs/core/src/rattanmill_core/refusal.py
@@ -1,7 +1,7 @@
-"""Refusals: the outcome of a request that got no answer from an endpoint.
+"""Refusals: outcomes of requests that received no endpoint response.
 
-Each refusal carries a stable reason, whether the request ran, and when coming
-back helps. The HTTP form is problem details (RFC 9457).
+Each refusal has a stable reason, whether the request ran, and when to retry.
+The HTTP representation is problem details (RFC 9457).
 """
 
 import enum
@@ -64,7 +64,7 @@
 
 
 class _Rule(msgspec.Struct, frozen=True):
-    """HTTP status, default for ``ran`` and default seconds to come back."""
+    """HTTP status and the defaults of ``ran`` and ``retry_after``."""
 
     status: int
     ran: Ran = Ran.NO
@@ -117,14 +117,15 @@
 
 
 class Refusal(msgspec.Struct, frozen=True):
-    """One refusal, ready to be sent to a caller or to another instance.
+    """A refusal that can be sent to a caller or to another instance.
 
     Attributes:
         reason: Stable reason, see ``Reason``.
         ran: Whether the request was executed.
-        detail: One sentence for a person.
-        retry_after: Seconds after which coming back helps, or None.
-        expected_turn: Turn that the program expects next, if that is at issue.
+        detail: One human-readable sentence.
+        retry_after: Seconds after which to retry, or None.
+        expected_turn: Next turn that the program expects, for refusals of a
+            wrong turn.
     """
 
     reason: Reason
@@ -139,10 +140,11 @@
         return _RULES[self.reason].status
 
     def after(self, ran: Ran) -> "Refusal":
-        """Returns this refusal, given how earlier tries ended.
+        """Returns this refusal, combined with the outcome of earlier attempts.
 
-        A last try that was never sent does not undo an earlier one: "not run"
-        for it alone would let the caller send again what may have run.
+        A last attempt that was never sent does not cancel an earlier one:
+        with "not run" for the last attempt alone, the caller would resend a
+        request that may have run.
         """
         if self.ran is not Ran.NO or ran is Ran.NO:
             return self
@@ -157,7 +159,7 @@
     retry_after: float | None = None,
     expected_turn: int | None = None,
 ) -> Refusal:
-    """Builds a refusal with the defaults of its reason."""
+    """Creates a refusal, with defaults that depend on its reason."""
     rule = _RULES[reason]
     return Refusal(
         reason,
--- a/libs/core/src/rattanmill_core/settings.py
+++ b/libs/core/src/rattanmill_core/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one daemon, read from a TOML file and checked whole."""
+"""Settings of one daemon, read from a TOML file and fully validated."""
 
 import ipaddress
 import pathlib
@@ -13,12 +13,12 @@
 from rattanmill_core.errors import SettingsError
 
 _NAME = re.compile(r"[a-z0-9][a-z0-9-]{0,62}")
-_MOST_PORT = 65535
-_OTHERS_MAY = stat.S_IRWXG | stat.S_IRWXO
+_MAX_PORT = 65535
+_GROUP_AND_OTHERS_MODE = stat.S_IRWXG | stat.S_IRWXO
 
 
 class Settings(msgspec.Struct, kw_only=True):
-    """Everything a daemon learns from its file; see docs/SETTINGS.md.
+    """Settings of a daemon from its file; see docs/SETTINGS.md.
 
     Attributes:
         name: Name of this instance, unique among all instances.
@@ -26,23 +26,24 @@
         http: Address for callers and operators, ``IP:PORT``.
         peer: Address for other instances, ``IP:PORT``.
         outside: Address at which instances of other failure domains reach
-            ``peer``, if they need another one.
+            ``peer``, if it differs.
         kv: Base URL of the platform's key-value service.
         directory: URL of the platform's instance list.
         secret_file: File with the secret key shared by all instances.
-        domains: Names of all failure domains, for the first start.
+        domains: Names of all failure domains, used on first start.
         data_folder: Folder for bulk data, or empty.
         log_format: ``text`` or ``json``.
-        log_level: Least level logged.
-        body_bytes: Largest request body.
+        log_level: Minimum level logged.
+        body_bytes: Maximum size of a request body, in bytes.
         lease_seconds: Time to live of this instance's lease.
-        drain_seconds: Longest time a shutdown waits for running requests.
-        notice_seconds: Time for which a shutdown goes on taking requests
-            after ``/readyz`` says not ready.
-        connections: Most connections of callers at a time.
-        receive_seconds: Longest time a request may take to arrive.
-        token_file: File with the operators' token, or empty: none is needed.
-        keys_file: File with each workspace's key, or empty: callers need
+        drain_seconds: Maximum time that a shutdown waits for running
+            requests.
+        notice_seconds: Time for which a shutdown continues to accept requests
+            after ``/readyz`` reports not ready.
+        connections: Maximum number of concurrent caller connections.
+        receive_seconds: Timeout for receiving a request.
+        token_file: File with the operators' token; if empty, none is needed.
+        keys_file: File with each workspace's key; if empty, callers need
             none.
     """
 
@@ -69,14 +70,14 @@
 
 
 class SettingKey(msgspec.Struct, frozen=True):
-    """Where a setting stands in the file and what it may be.
+    """Location of a setting in the file and its allowed values.
 
     Attributes:
-        path: Table and key.
+        path: Table and key, ``TABLE.KEY``.
         kind: Type or types of the value.
-        allowed: What is allowed, in words.
-        accepts: Whether a value of the type is allowed.
-        required: Whether the file must have it.
+        allowed: Description of the allowed values.
+        accepts: Returns whether a value of the type is allowed.
+        required: Whether the setting must be present.
     """
 
     path: str
@@ -96,7 +97,7 @@
         ipaddress.ip_address(host.removeprefix("[").removesuffix("]"))
     except ValueError:
         return False
-    return port.isdecimal() and 0 < int(port) <= _MOST_PORT
+    return port.isdecimal() and 0 < int(port) <= _MAX_PORT
 
 
 def _is_url(value: str) -> bool:
@@ -113,8 +114,8 @@
     return lambda value: value in choices
 
 
-def _between(least: float, most: float) -> Callable[[Any], bool]:
-    return lambda value: least <= value <= most
+def _between(minimum: float, maximum: float) -> Callable[[Any], bool]:
+    return lambda value: minimum <= value <= maximum
 
 
 _NUMBER = (int, float)
@@ -177,10 +178,11 @@
 
 
 def load_settings(path: str) -> Settings:
-    """Reads and checks a settings file.
+    """Reads and validates a settings file.
 
     Raises:
-        SettingsError: Names the file, each wrong key and what is allowed.
+        SettingsError: The file is unreadable or invalid; the message names
+            the file, each invalid key and the allowed values.
     """
     try:
         table = tomllib.loads(pathlib.Path(path).read_text(encoding="utf-8"))
@@ -194,8 +196,8 @@
         for section, inner in tables.items()
         for name, value in inner.items()
     }
-    errors = [*_wrong_tables(table), *_unknown_keys(values)]
-    errors += _wrong_values(values) or _contradictions(values)
+    errors = [*_find_invalid_tables(table), *_find_unknown_keys(values)]
+    errors += _find_invalid_values(values) or _find_contradictions(values)
     if errors:
         raise SettingsError("\n".join(f"{path}: {error}" for error in errors))
     return Settings(
@@ -207,7 +209,7 @@
     )
 
 
-def _wrong_tables(table: dict[str, Any]) -> list[str]:
+def _find_invalid_tables(table: dict[str, Any]) -> list[str]:
     known = {key.path.split(".")[0] for key in KEYS.values()}
     errors = []
     for name, inner in table.items():
@@ -219,7 +221,7 @@
     return errors
 
 
-def _unknown_keys(values: dict[str, Any]) -> list[str]:
+def _find_unknown_keys(values: dict[str, Any]) -> list[str]:
     known = {key.path for key in KEYS.values()}
     sections = {path.split(".")[0] for path in known}
     return [
@@ -229,7 +231,7 @@
     ]
 
 
-def _wrong_values(values: dict[str, Any]) -> list[str]:
+def _find_invalid_values(values: dict[str, Any]) -> list[str]:
     errors = []
     for key in KEYS.values():
         if key.path not in values:
@@ -243,8 +245,8 @@
     return errors
 
 
-def _contradictions(values: dict[str, Any]) -> list[str]:
-    """Returns what is wrong between values that are right by themselves."""
+def _find_contradictions(values: dict[str, Any]) -> list[str]:
+    """Returns errors in combinations of individually valid values."""
     errors = []
     domain = values["instance.domain"]
     if domain not in values["platform.domains"]:
@@ -255,21 +257,22 @@
 
 
 def open_secrets(settings: Settings) -> list[str]:
-    """Returns a sentence for each file with secrets that others may use.
+    """Returns a warning for each secrets file that other users may access.
 
-    Whoever reads the peers' key can speak as an instance and seal receipts.
+    With the peers' key, a process can impersonate an instance and sign
+    receipts.
     """
     paths = [getattr(settings, field) for field in _SECRET_FIELDS]
-    sentences = []
+    warnings = []
     for path in filter(None, paths):
         try:
             mode = pathlib.Path(path).stat().st_mode
         except OSError:
             continue
-        if mode & _OTHERS_MAY:
+        if mode & _GROUP_AND_OTHERS_MODE:
             bits = stat.S_IMODE(mode)
-            sentences.append(
+            warnings.append(
                 f"{path}: holds secrets and has mode {bits:03o};"
                 " allowed to its owner only: chmod 600"
             )
-    return sentences
+    return warnings
