--- a/libs/core/src/rattanmill_core/events.py
+++ b/libs/core/src/rattanmill_core/events.py
@@ -1,9 +1,9 @@
 """Structured log lines, one for each decision and change of known state.
 
 Lines are written to standard output as JSON through loguru, like all other
-logs. Their rate is limited, with a lower priority for decisions than for
-errors, and dropped lines are counted. A slow reader never blocks the event
-loop.
+logs. Their rate is limited, with separate limits for decisions and errors so
+that decisions are dropped first, and dropped lines are counted. A slow reader
+never blocks the event loop.
 """
 
 import asyncio
@@ -30,7 +30,7 @@
 _WARNING_LEVEL = 30
 
 
-class LineBudget:
+class LineRateLimiter:
     """Limits the number of lines written per second.
 
     Attributes:
@@ -43,7 +43,7 @@
         self.left = per_second
         self.dropped = 0
 
-    def take(self, second: int) -> bool:
+    def try_acquire(self, second: int) -> bool:
         """Consumes one line; returns False if the limit is reached."""
         if second != self.second:
             self.second = second
@@ -66,8 +66,8 @@
     def __init__(self, descriptor: int, instance: str) -> None:
         self.descriptor = descriptor
         self.instance = instance
-        self.decisions = LineBudget(_MAX_LINES_PER_SECOND)
-        self.errors = LineBudget(_MAX_ERRORS_PER_SECOND)
+        self.decisions = LineRateLimiter(_MAX_LINES_PER_SECOND)
+        self.errors = LineRateLimiter(_MAX_ERRORS_PER_SECOND)
         self.buffer = bytearray()
         os.set_blocking(descriptor, False)
 
@@ -77,8 +77,8 @@
         now = record["time"].timestamp()
         is_error = record["level"].no >= _WARNING_LEVEL
         has_priority = is_error or record["message"] in _PRIORITY_EVENTS
-        budget = self.errors if has_priority else self.decisions
-        if not budget.take(int(now)):
+        limiter = self.errors if has_priority else self.decisions
+        if not limiter.try_acquire(int(now)):
             return
         self._report_dropped(now)
         extra = record["extra"]
@@ -161,10 +161,10 @@
 
 
 def boot_seconds() -> float:
-    """Returns the time of a clock that also runs while suspended."""
+    """Returns seconds of a clock that includes time in system suspend."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 def wall_seconds() -> float:
-    """Returns seconds since the epoch, for expiry across restarts."""
+    """Returns seconds since 1970, for expiry times that outlive the process."""
     return time.time()
--- a/libs/core/src/rattanmill_core/process.py
+++ b/libs/core/src/rattanmill_core/process.py
@@ -18,12 +18,12 @@
 
     Attributes:
         stop: Set when the process should stop.
-        broken: The broken invariant that stops the process, or None.
+        invariant_error: The broken invariant that stops the process, or None.
     """
 
     def __init__(self) -> None:
         self.stop = asyncio.Event()
-        self.broken: InvariantError | None = None
+        self.invariant_error: InvariantError | None = None
 
     def install(self, on_reload: Callable[[], None]) -> None:
         """Installs handlers for signals and for unexpected ends of tasks."""
@@ -46,7 +46,7 @@
             cause=repr(getattr(error, "__cause__", None)),
         )
         if isinstance(error, InvariantError):
-            self.broken = error
+            self.invariant_error = error
             self.stop.set()
 
 
--- a/libs/forward/src/rattanmill_forward/daemon.py
+++ b/libs/forward/src/rattanmill_forward/daemon.py
@@ -204,10 +204,10 @@
         stack.push_async_callback(metrics_server.cleanup)
         log_event("started", role="front", domain=settings.domain)
         await signals.stop.wait()
-        if not signals.broken:
+        if not signals.invariant_error:
             await _drain(front_end, server)
-    if signals.broken:
-        raise signals.broken
+    if signals.invariant_error:
+        raise signals.invariant_error
     log_event("stopped")
 
 
--- a/libs/keeper/src/rattanmill_keeper/daemon.py
+++ b/libs/keeper/src/rattanmill_keeper/daemon.py
@@ -73,6 +73,6 @@
             whole=keeper.is_recovered,
         )
         await signals.stop.wait()
-    if signals.broken:
-        raise signals.broken
+    if signals.invariant_error:
+        raise signals.invariant_error
     log_event("stopped")
