--- a/libs/entry/src/rattanmill_entry/__init__.py
+++ b/libs/entry/src/rattanmill_entry/__init__.py
@@ -1,4 +1,4 @@
-"""The entry daemon: callers on one side, endpoints on the other."""
+"""The entry daemon: accepts calls and forwards them to endpoints."""
 
 from rattanmill_entry.daemon import run_daemon
 
--- a/libs/entry/src/rattanmill_entry/access.py
+++ b/libs/entry/src/rattanmill_entry/access.py
@@ -1,9 +1,9 @@
-"""Who may ask what: operators by a token, callers by their workspace's key.
+"""Authentication: operators by a token, callers by their workspace's key.
 
-Both are read from files, again when these change: workspaces come and go
-every day, and no instance is restarted for one. Without the files, everybody
-who reaches the address is let in, and a caller's workspace is what its header
-says.
+Both are read from files and reloaded when these change, since workspaces are
+added and removed every day and no instance is restarted for one. Without the
+files, all requests are accepted, and a caller's workspace is the one in its
+header.
 """
 
 import asyncio
@@ -28,21 +28,22 @@
 from rattanmill_entry.problems import problem_response
 
 _log = part_logger("access")
-_ADMIN = "/v1/admin/"
-_CALLERS = "/v1/"
+_ADMIN_PREFIX = "/v1/admin/"
+_CALLER_PREFIX = "/v1/"
 _WORKSPACE_HEADER = "Rattanmill-Workspace"
 _WORKSPACE_KEY = web.RequestKey("workspace", str)
-_LOOK_SECONDS = 1.0
-_LEAST_LETTERS = 16
-_MOST_LETTERS = 200
+_POLL_SECONDS = 1.0
+_MIN_SECRET_CHARS = 16
+_MAX_SECRET_CHARS = 200
 
 
 class Access(msgspec.Struct, frozen=True):
-    """Secrets that requests are checked against.
+    """Secrets that authenticate requests.
 
     Attributes:
-        token: Operators' token; empty: none is needed.
-        workspaces: Workspace by digest of its key; None: no keys are needed.
+        token: Operators' token; empty if none is required.
+        workspaces: Workspace by digest of its key; None if no keys are
+            required.
     """
 
     token: bytes = b""
@@ -50,13 +51,13 @@
 
 
 class AccessFiles:
-    """The secrets as last read; follows changes of the files.
+    """The secrets as last read; reloads the files when they change.
 
     Args:
-        settings: Names the files.
+        settings: Contains the paths of the files.
 
     Raises:
-        SettingsError: A file cannot be used.
+        SettingsError: A file cannot be read or has invalid entries.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -66,29 +67,30 @@
         self.task: asyncio.Task | None = None
 
     async def __aenter__(self) -> Self:
-        self.task = start_loop("keys file", self._follow())
+        self.task = start_loop("keys file", self._watch())
         return self
 
     async def __aexit__(self, *exc_info: object) -> None:
         if self.task:
             self.task.cancel()
 
-    async def _follow(self) -> None:
+    async def _watch(self) -> None:
         while True:
-            await asyncio.sleep(_LOOK_SECONDS)
+            await asyncio.sleep(_POLL_SECONDS)
             stamps = self._stamps()
             if stamps != self.stamps:
                 self.stamps = stamps
-                self._read()
+                self._reload()
 
-    def _read(self) -> None:
+    def _reload(self) -> None:
         try:
             self.access = load_access(self.settings)
         except SettingsError as error:
-            # Half a file, or none, must lock nobody out and let nobody in.
+            # A partial or missing file must neither reject valid requests
+            # nor accept others.
             _log.error("Kept the old keys and token: {}", error.message)
             return
-        _log.info("Read keys and token again.")
+        _log.info("Reloaded keys and token.")
 
     def _stamps(self) -> list[tuple[int, ...]]:
         files = (self.settings.token_file, self.settings.keys_file)
@@ -96,19 +98,19 @@
 
 
 def _stamp(path: str) -> tuple[int, ...]:
-    """Returns what differs between two versions of a file."""
+    """Returns values that differ between two versions of a file."""
     try:
-        found = pathlib.Path(path).stat()
+        status = pathlib.Path(path).stat()
     except OSError:
         return ()
-    return found.st_ino, found.st_mtime_ns, found.st_size
+    return status.st_ino, status.st_mtime_ns, status.st_size
 
 
 def load_access(settings: Settings) -> Access:
-    """Reads the token and keys that the settings name.
+    """Reads the token and key files of the settings.
 
     Raises:
-        SettingsError: A file is missing or has entries of a wrong form.
+        SettingsError: A file is missing or has invalid entries.
     """
     token = b""
     workspaces = None
@@ -125,7 +127,7 @@
     except OSError as error:
         raise SettingsError(f"{path}: cannot be read: {error}") from error
     if not _is_secret(token.decode("latin-1")):
-        raise SettingsError(f"{path}: {_allowed('a token')}")
+        raise SettingsError(f"{path}: {_format_error('a token')}")
     return token
 
 
@@ -139,10 +141,11 @@
     errors = []
     workspaces: dict[bytes, str] = {}
     for workspace, keys in table.items():
-        # Two keys at a time let callers change theirs without a gap.
+        # Several keys are allowed, so that callers can rotate theirs without
+        # an interruption.
         for key in keys if isinstance(keys, list) else [keys]:
             if not isinstance(key, str) or not _is_secret(key):
-                errors.append(f"{path}: {workspace}: {_allowed('a key')}")
+                errors.append(f"{path}: {workspace}: {_format_error('a key')}")
             elif workspaces.get(_digest(key.encode()), workspace) != workspace:
                 other = workspaces[_digest(key.encode())]
                 errors.append(f"{path}: {workspace}: has the key of {other}")
@@ -154,14 +157,19 @@
 
 
 def _is_secret(text: str) -> bool:
-    fits = _LEAST_LETTERS <= len(text) <= _MOST_LETTERS
-    return fits and text.isascii() and text.isprintable() and " " not in text
+    has_valid_length = _MIN_SECRET_CHARS <= len(text) <= _MAX_SECRET_CHARS
+    return (
+        has_valid_length
+        and text.isascii()
+        and text.isprintable()
+        and " " not in text
+    )
 
 
-def _allowed(what: str) -> str:
+def _format_error(what: str) -> str:
     return (
-        f"is not {what}; allowed: {_LEAST_LETTERS} to {_MOST_LETTERS} visible"
-        " letters without spaces"
+        f"is not {what}; allowed: {_MIN_SECRET_CHARS} to"
+        f" {_MAX_SECRET_CHARS} visible characters without spaces"
     )
 
 
@@ -170,13 +178,13 @@
 
 
 def access_middleware(node: Node, files: AccessFiles):  # noqa: ANN201 - aiohttp's middleware type
-    """Returns the middleware that lets requests in or refuses them."""
+    """Returns the middleware that authenticates requests."""
 
     @web.middleware
     async def check(request: web.Request, handler) -> web.StreamResponse:  # noqa: ANN001
-        if request.path.startswith(_ADMIN):
+        if request.path.startswith(_ADMIN_PREFIX):
             detail = _check_operator(request, files.access)
-        elif request.path.startswith(_CALLERS):
+        elif request.path.startswith(_CALLER_PREFIX):
             detail = _check_caller(request, files.access)
         else:
             detail = ""
@@ -192,16 +200,16 @@
 
 
 def workspace_of(request: web.Request) -> str:
-    """Returns the caller's workspace: by its key, or else as it says."""
-    stated = request.headers.get(_WORKSPACE_HEADER, "")
-    return request.get(_WORKSPACE_KEY, stated)
+    """Returns the caller's workspace: that of its key, or of its header."""
+    header_value = request.headers.get(_WORKSPACE_HEADER, "")
+    return request.get(_WORKSPACE_KEY, header_value)
 
 
 def _check_operator(request: web.Request, access: Access) -> str:
     if not access.token:
         return ""
-    # Compared in constant time: an early end at the first wrong letter would
-    # let a guesser find the token letter by letter.
+    # Compared in constant time: a comparison that ended at the first wrong
+    # character would reveal the token character by character.
     if hmac.compare_digest(_bearer(request), access.token):
         return ""
     return "Operators need 'Authorization: Bearer' with the operators' token."
@@ -210,7 +218,7 @@
 def _check_caller(request: web.Request, access: Access) -> str:
     if access.workspaces is None:
         return ""
-    # Looked up by digest: how long that takes tells nothing of the key.
+    # Looked up by digest, so that the duration reveals nothing of the key.
     workspace = access.workspaces.get(_digest(_bearer(request)))
     if workspace is None:
         return "Callers need 'Authorization: Bearer' with a workspace's key."
--- a/libs/entry/src/rattanmill_entry/acts.py
+++ b/libs/entry/src/rattanmill_entry/acts.py
@@ -15,7 +15,7 @@
 
 from rattanmill_core import Ran, Reason, Refusal, refuse
 from rattanmill_entry.node import Node
-from rattanmill_entry.quarantine import service_prints
+from rattanmill_entry.quarantine import service_fingerprints
 from rattanmill_entry.replies import (
     Replies,
     Reply,
@@ -25,8 +25,8 @@
 )
 from rattanmill_entry.services import (
     NEVER_SENT,
-    answered,
-    gave_up,
+    service_failed_refusal,
+    service_replies,
     service_work,
 )
 from rattanmill_entry.upstream import Failed, ServiceResponse, call_service
@@ -147,7 +147,7 @@
     node: Node, shard: Shard, program: Program, start: CallStart, act: Act
 ) -> list[Reply]:
     refusal = _check_program(program)
-    refusal = refusal or node.guard.refusal(service_prints(start), Ran.NO)
+    refusal = refusal or node.guard.refusal(service_fingerprints(start), Ran.NO)
     if refusal:
         return [refused(start, refusal)]
     program.acts[act.key] = act
@@ -211,9 +211,9 @@
         result = await _attempt(run, work)
         if isinstance(result, Refusal):
             return _withdraw(run, result)
-        fingerprints = service_prints(run.start)
+        fingerprints = service_fingerprints(run.start)
         if isinstance(result, ServiceResponse):
-            node.guard.finished(fingerprints)
+            node.guard.record_completed(fingerprints)
             return await _settle(run, result)
         if result.outcome not in NEVER_SENT:
             replies = await _settle(run, None)
@@ -222,7 +222,7 @@
             return replies
         run.may_have_been_sent = False
         if not node.scheduler.may_retry(work, result.outcome):
-            return _withdraw(run, gave_up(result, Ran.NO))
+            return _withdraw(run, service_failed_refusal(result, Ran.NO))
         node.metrics.retried(result.outcome)
 
 
@@ -305,7 +305,7 @@
     if response.status == _FENCED_STATUS and isinstance(appended, Fenced):
         # The service checks fencing tokens, and this instance's was stale.
         return [ownership_lost(run.start, Ran.NO)]
-    return answered(run.start, response)
+    return service_replies(run.start, response)
 
 
 def _settled_record(
--- a/libs/entry/src/rattanmill_entry/admin.py
+++ b/libs/entry/src/rattanmill_entry/admin.py
@@ -1,4 +1,4 @@
-"""The operators' interface over HTTP, for the command line."""
+"""The operators' HTTP interface, which the command line uses."""
 
 from collections.abc import Mapping
 
@@ -22,7 +22,7 @@
 from rattanmill_entry.problems import problem_response
 from rattanmill_entry.reach import config_reach, peer_statuses
 
-_MOST_REACH_SECONDS = 30
+_MAX_REACH_SECONDS = 30
 
 
 def admin_routes(node: Node) -> list[web.RouteDef]:
@@ -81,7 +81,7 @@
 
 
 def instance_status(node: Node) -> InstanceStatus:
-    """Returns this instance's view of itself and the others."""
+    """Returns the status of this instance and the known others."""
     lease = "held" if node.lease.holds() else "lapsed"
     if node.lease.outage():
         lease = "outage"
@@ -147,7 +147,7 @@
         detail = "number and seconds: must be whole numbers"
         refusal = refuse(Reason.BAD_REQUEST, detail)
         return problem_response(refusal, node.metrics)
-    wait = min(int(seconds), _MOST_REACH_SECONDS)
+    wait = min(int(seconds), _MAX_REACH_SECONDS)
     return _json(await config_reach(node, int(number), wait))
 
 
--- a/libs/entry/src/rattanmill_entry/answers.py
+++ b/libs/entry/src/rattanmill_entry/answers.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from rattanmill_entry.chatbody import canonical
+from rattanmill_entry.chatbody import canonical_json
 from rattanmill_entry.upstream import Delta, Finished, Usage
 
 DONE_EVENT = b"data: [DONE]\n\n"
@@ -50,7 +50,7 @@
             fields["tool_calls"] = [
                 self.tool_calls[index] for index in sorted(self.tool_calls)
             ]
-        return canonical(fields)
+        return canonical_json(fields)
 
 
 def _usage(usage: Usage) -> dict:
--- a/libs/entry/src/rattanmill_entry/attempts.py
+++ b/libs/entry/src/rattanmill_entry/attempts.py
@@ -16,7 +16,7 @@
 from rattanmill_entry.engines import stop_when_closed
 from rattanmill_entry.node import Node
 from rattanmill_entry.overlap import Mismatch, Overlap
-from rattanmill_entry.quarantine import chat_prints
+from rattanmill_entry.quarantine import chat_fingerprints
 from rattanmill_entry.upstream import (
     Delta,
     Failed,
@@ -75,7 +75,7 @@
         The parts of the answer; the last one is Finished or a refusal.
     """
     body = upstream_body(run.chat, run.messages, run.max_tokens)
-    fingerprints = chat_prints(run.chat, run.messages)
+    fingerprints = chat_fingerprints(run.chat, run.messages)
     node.memory.turn_started(run.work.program)
     overlap = Overlap()
     ran = Ran.NO
@@ -90,7 +90,7 @@
             return
         failed = None
         async with (
-            node.guard.alone(fingerprints, placed.state),
+            node.guard.isolate(fingerprints, placed.state),
             contextlib.aclosing(
                 _attempt(node, run, placed, body, overlap)
             ) as parts,
@@ -102,7 +102,7 @@
                 if isinstance(part, Finished):
                     # Before the last part: its receiver may not resume this
                     # generator.
-                    node.guard.finished(fingerprints)
+                    node.guard.record_completed(fingerprints)
                     node.memory.turn_finished(run, placed.state)
                 if isinstance(part, Refusal) and run.charge_lost:
                     await run.charge_lost()
@@ -118,7 +118,9 @@
             refusal = await run.charge_lost() if run.charge_lost else None
         if failed.outcome is Outcome.BROKEN:
             refusal = (
-                await node.guard.after_broken(fingerprints, placed.state)
+                await node.guard.handle_broken_attempt(
+                    fingerprints, placed.state
+                )
                 or refusal
             )
         refusal = refusal or _final_refusal(node, run, failed, overlap)
@@ -128,7 +130,7 @@
         node.metrics.retried(failed.outcome)
         if not run.stream:
             yield Restarted()
-        await node.guard.before_retry(fingerprints)
+        await node.guard.delay_retry(fingerprints)
 
 
 async def _attempt(
--- a/libs/entry/src/rattanmill_entry/budget.py
+++ b/libs/entry/src/rattanmill_entry/budget.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from rattanmill_core import Ran, Reason, Refusal, WorkClass, refuse
-from rattanmill_entry.chatbody import prompt_bound
+from rattanmill_entry.chatbody import max_prompt_tokens
 from rattanmill_entry.node import Node
 from rattanmill_entry.plan import Plan
 from rattanmill_programs import (
@@ -161,7 +161,7 @@
     token.
     """
     covered, tokens = _reported_usage(program, plan)
-    rest = prompt_bound(plan.messages[covered:])
+    rest = max_prompt_tokens(plan.messages[covered:])
     return tokens + rest + (_TEMPLATE_TOKENS if covered else 0)
 
 
--- a/libs/entry/src/rattanmill_entry/chatbody.py
+++ b/libs/entry/src/rattanmill_entry/chatbody.py
@@ -1,22 +1,22 @@
-"""The chat-completion body: what the caller sent and what goes upstream."""
+"""Chat-completion bodies: of the caller and for the engine."""
 
 import hashlib
 
 import msgspec
 
 _DEFAULT_OUTPUT_TOKENS = 1024
-_TOKENS_PER_MESSAGE = 16
+_TEMPLATE_TOKENS_PER_MESSAGE = 16
 
 
 class ChatBody(msgspec.Struct):
     """A caller's chat-completion request.
 
     Attributes:
-        model: Model asked for.
+        model: Requested model.
         messages: Canonical JSON of each message.
-        fields: All other fields, passed on as they are.
-        receipts: Receipts the caller brings back.
-        max_tokens: Most tokens of the answer that the caller allows.
+        fields: All other fields, forwarded unchanged.
+        receipts: Receipts that the caller returns.
+        max_tokens: Maximum tokens of the answer.
     """
 
     model: str
@@ -27,7 +27,7 @@
 
     @property
     def digest(self) -> bytes:
-        """Digest of what makes this request differ from another."""
+        """Digest that identifies the content of the request."""
         digest = hashlib.sha256(self.model.encode())
         for message in self.messages:
             digest.update(message + b"\n")
@@ -36,7 +36,7 @@
         return digest.digest()
 
 
-class _Wire(msgspec.Struct):
+class _RequestBody(msgspec.Struct):
     model: str
     messages: list[dict]
     stream: bool = False
@@ -45,31 +45,31 @@
     rattanmill_receipts: list[str] = msgspec.field(default_factory=list)
 
 
-_OWN_FIELDS = frozenset(
-    (*_Wire.__struct_fields__, "stream_options", "rattanmill")
+_CONSUMED_FIELDS = frozenset(
+    (*_RequestBody.__struct_fields__, "stream_options", "rattanmill")
 )
-_FIELDS = msgspec.json.Decoder(dict[str, msgspec.Raw])
-_WIRE = msgspec.json.Decoder(_Wire)
+_FIELDS_DECODER = msgspec.json.Decoder(dict[str, msgspec.Raw])
+_BODY_DECODER = msgspec.json.Decoder(_RequestBody)
 
 
 def parse_chat(body: bytes) -> ChatBody | str:
-    """Returns the request, or what is wrong with it."""
+    """Returns the request, or a text with the error in the body."""
     try:
-        wire = _WIRE.decode(body)
-        fields = _FIELDS.decode(body)
+        wire = _BODY_DECODER.decode(body)
+        fields = _FIELDS_DECODER.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
         return str(error)
     if not wire.messages:
         return "messages: must not be empty"
-    wanted = wire.max_completion_tokens or wire.max_tokens
-    if wanted is not None and wanted < 1:
+    requested = wire.max_completion_tokens or wire.max_tokens
+    if requested is not None and requested < 1:
         return "max_tokens: must be at least 1"
     return ChatBody(
         wire.model,
-        [canonical(message) for message in wire.messages],
-        {k: v for k, v in fields.items() if k not in _OWN_FIELDS},
+        [canonical_json(message) for message in wire.messages],
+        {k: v for k, v in fields.items() if k not in _CONSUMED_FIELDS},
         wire.rattanmill_receipts,
-        wanted or _DEFAULT_OUTPUT_TOKENS,
+        requested or _DEFAULT_OUTPUT_TOKENS,
     )
 
 
@@ -77,23 +77,23 @@
     stream: bool = False
 
 
-def asks_stream(body: bytes) -> bool:
-    """Whether a body asks for a streamed answer; False if it is broken."""
+def requests_stream(body: bytes) -> bool:
+    """Whether a body requests a streamed answer; False if it is invalid."""
     try:
         return msgspec.json.decode(body, type=_Stream).stream
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
         return False
 
 
-def canonical(message: dict) -> bytes:
+def canonical_json(message: dict) -> bytes:
     """Returns the JSON of a message with sorted keys."""
     return msgspec.json.encode(message, order="sorted")
 
 
-def common_messages(one: list[bytes], other: list[bytes]) -> int:
-    """Returns how many messages two conversations share from the start."""
+def common_prefix_length(first: list[bytes], second: list[bytes]) -> int:
+    """Returns the number of leading messages that two lists share."""
     count = 0
-    for mine, theirs in zip(one, other, strict=False):
+    for mine, theirs in zip(first, second, strict=False):
         if mine != theirs:
             break
         count += 1
@@ -103,7 +103,7 @@
 def upstream_body(
     chat: ChatBody, messages: list[bytes], max_tokens: int
 ) -> bytes:
-    """Returns the body for an engine, always streamed and with usage."""
+    """Returns the body for an engine, always with streaming and usage."""
     fields = dict(chat.fields)
     fields["model"] = msgspec.Raw(msgspec.json.encode(chat.model))
     fields["messages"] = msgspec.Raw(b"[" + b",".join(messages) + b"]")
@@ -113,21 +113,26 @@
     return msgspec.json.encode(fields)
 
 
-def prompt_bound(messages: list[bytes]) -> int:
-    """Returns the most tokens a prompt can have.
+def max_prompt_tokens(messages: list[bytes]) -> int:
+    """Returns an upper bound for the tokens of a prompt.
 
-    A token is at least one byte, and templates add a few for each message.
+    A token has at least one byte, and templates add a few per message.
     """
-    return sum(len(message) + _TOKENS_PER_MESSAGE for message in messages)
+    return sum(
+        len(message) + _TEMPLATE_TOKENS_PER_MESSAGE for message in messages
+    )
 
 
 def prefix_digests(
     model: str, messages: list[bytes]
 ) -> list[tuple[bytes, int]]:
-    """Returns digest and estimated tokens of each prefix, by message."""
-    chain = hashlib.sha256(model.encode()).digest()
+    """Returns the digest of the prefix up to each message.
+
+    Each comes with the estimated tokens of its last message.
+    """
+    digest = hashlib.sha256(model.encode()).digest()
     prefixes = []
     for message in messages:
-        chain = hashlib.sha256(chain + message).digest()
-        prefixes.append((chain, 1 + len(message) // 4))
+        digest = hashlib.sha256(digest + message).digest()
+        prefixes.append((digest, 1 + len(message) // 4))
     return prefixes
--- a/libs/entry/src/rattanmill_entry/daemon.py
+++ b/libs/entry/src/rattanmill_entry/daemon.py
@@ -1,4 +1,4 @@
-"""Puts the parts of the daemon together, and takes them down in order."""
+"""Builds the components of the daemon and stops them in order."""
 
 import asyncio
 import contextlib
@@ -26,15 +26,15 @@
 from rattanmill_entry.edge import ConnectionLimit, edge_middleware
 from rattanmill_entry.engines import EndpointMonitor
 from rattanmill_entry.failures import watch_tasks
-from rattanmill_entry.gossip import Gossip, take_config
+from rattanmill_entry.gossip import Gossip, adopt_config
 from rattanmill_entry.http import caller_routes
 from rattanmill_entry.memory import EngineMemory
 from rattanmill_entry.node import Node
 from rattanmill_entry.ownership import Ownership
 from rattanmill_entry.quarantine import CrashGuard
 from rattanmill_entry.serve import serve
-from rattanmill_entry.signs import Signs
-from rattanmill_entry.telemetry import show_state
+from rattanmill_entry.signs import NoteExchange
+from rattanmill_entry.telemetry import register_state_metrics
 from rattanmill_entry.upstream import send_guard_trace
 from rattanmill_platform import (
     Directory,
@@ -49,15 +49,15 @@
 from rattanmill_wire import PeerHub, load_secret
 
 _log = part_logger("daemon")
-_CONNECTIONS = 4096
+_MAX_CONNECTIONS = 4096
 
 
 async def run_daemon(settings: Settings) -> None:
     """Runs until SIGTERM or SIGINT, then drains.
 
     Raises:
-        SettingsError: A file with secrets cannot be used.
-        InvariantError: The state was found to be impossible.
+        SettingsError: A file with secrets is missing or invalid.
+        InvariantError: An invariant of the state was broken.
     """
     files = AccessFiles(settings)
     node = _make_node(settings)
@@ -71,13 +71,13 @@
         node.act_session = await stack.enter_async_context(
             _session(settings, fresh=True)
         )
-        signs = Signs(node)
+        note_exchange = NoteExchange(node)
         watch = EndpointMonitor(node)
-        node.guard = CrashGuard(node, signs, watch)
+        node.guard = CrashGuard(node, note_exchange, watch)
         node.memory = EngineMemory(node, watch)
-        gossip = Gossip(node, signs)
-        _make_parts(node, gossip)
-        show_state(node)
+        gossip = Gossip(node, note_exchange)
+        _make_components(node, gossip)
+        register_state_metrics(node)
         ownership = Ownership(node)
         node.live = LiveView(node.kv, lambda: _on_live(node, ownership))
         await stack.enter_async_context(files)
@@ -89,7 +89,7 @@
             LoadPoller(node.scheduler, node.session)
         )
         await stack.enter_async_context(gossip)
-        await stack.enter_async_context(signs)
+        await stack.enter_async_context(note_exchange)
         await stack.enter_async_context(watch)
         await stack.enter_async_context(node.memory)
         await stack.enter_async_context(ownership)
@@ -99,8 +99,8 @@
         await stack.enter_async_context(limit)
         _log.info("Instance {} serves on {}.", settings.name, settings.http)
         await node.stop.wait()
-        if node.broken:
-            raise node.broken
+        if node.invariant_error:
+            raise node.invariant_error
         await drain(node, ownership, list(runner.sites))
 
 
@@ -119,27 +119,27 @@
 
 
 def _session(settings: Settings, fresh: bool = False) -> aiohttp.ClientSession:
-    """Returns a session whose connections start at this instance's address.
+    """Returns a session that connects from this instance's address.
 
     Args:
-        settings: Names the address.
-        fresh: Whether each call gets a connection of its own. One that the
-            other side has just closed makes a request fail that never ran,
-            and the caller is told that nobody knows.
+        settings: Contains the address.
+        fresh: Whether each call opens a new connection. On a reused one that
+            the endpoint has just closed, a request fails that never ran,
+            and the caller is told that its outcome is unknown.
     """
     host = settings.http.rsplit(":", 1)[0]
     return aiohttp.ClientSession(
         connector=aiohttp.TCPConnector(
-            limit=_CONNECTIONS, local_addr=(host, 0), force_close=fresh
+            limit=_MAX_CONNECTIONS, local_addr=(host, 0), force_close=fresh
         ),
         auto_decompress=False,
         trace_configs=[send_guard_trace()] if fresh else [],
-        # One caller's cookies must not go out with another's call.
+        # One caller's cookies must not be sent with another's call.
         cookie_jar=aiohttp.DummyCookieJar(),
     )
 
 
-def _make_parts(node: Node, gossip: Gossip) -> None:
+def _make_components(node: Node, gossip: Gossip) -> None:
     settings = node.settings
     node.kv = KvClient(settings.kv, node.session, node.metrics)
     record = InstanceRecord(
@@ -165,13 +165,13 @@
         node.secret,
         node.metrics,
         lambda start: serve(node, start),
-        gossip.notice,
+        gossip.handle_message,
         node.lease.silence_seconds,
     )
 
 
 def _on_live(node: Node, ownership: Ownership) -> None:
-    """Takes over what the live view has learned."""
+    """Applies changes of the live view to the node."""
     node.addresses.update(node.live.instances)
     node.lease.peers_known = sum(
         1
@@ -182,9 +182,9 @@
     if node.live.config:
         document = decode_config(node.live.config)
         if isinstance(document, ConfigDocument):
-            take_config(node, document)
+            adopt_config(node, document)
         else:
-            _log.error("Stored configuration is wrong: {}", document)
+            _log.error("Stored configuration is invalid: {}", document)
     ownership.wake.set()
 
 
--- a/libs/entry/src/rattanmill_entry/drain.py
+++ b/libs/entry/src/rattanmill_entry/drain.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: hand over, finish, and only then stop listening."""
+"""Graceful shutdown: transfer shards, finish work, then stop listening."""
 
 import asyncio
 from collections.abc import Callable
@@ -11,32 +11,32 @@
 
 _log = part_logger("drain")
 _POLL_SECONDS = 0.02
-_LAST_SECONDS = 0.1
+_ACCEPTED_REQUEST_SECONDS = 0.1
 
 
 async def drain(
     node: Node, ownership: Ownership, sites: list[web.BaseSite]
 ) -> None:
-    """Finishes all that is under way, for at most ``drain_seconds``.
+    """Finishes all work in flight, for at most ``drain_seconds``.
 
-    Requests go on being taken until nothing is under way and the platform's
-    balancer has had time to see that the instance is not ready: they are sent
-    on to the new owners, or refused with a time to come back.
+    New requests are accepted until no work is in flight and the platform's
+    load balancer has had time to see that the instance is not ready. They are
+    forwarded to the new owners, or refused with a ``Retry-After``.
     """
     loop = asyncio.get_running_loop()
-    until = loop.time() + node.settings.drain_seconds
-    notice = loop.time() + node.settings.notice_seconds
+    deadline = loop.time() + node.settings.drain_seconds
+    notice_end = loop.time() + node.settings.notice_seconds
     _log.info("Draining.")
     node.draining = True
-    await ownership.handover.transfer_all(until)
-    await asyncio.sleep(max(0.0, min(notice, until) - loop.time()))
-    quiet = await _wait_for(lambda: _is_quiet(node), until)
+    await ownership.handover.transfer_all(deadline)
+    await asyncio.sleep(max(0.0, min(notice_end, deadline) - loop.time()))
+    idle = await _wait_for(lambda: _is_idle(node), deadline)
     for site in sites:
         await site.stop()
-    # A request that was accepted just before is let through.
-    await asyncio.sleep(_LAST_SECONDS)
-    quiet = await _wait_for(lambda: _is_quiet(node), until) and quiet
-    if quiet:
+    # Lets a request start that was accepted just before.
+    await asyncio.sleep(_ACCEPTED_REQUEST_SECONDS)
+    idle = await _wait_for(lambda: _is_idle(node), deadline) and idle
+    if idle:
         _log.info("Drained.")
         return
     node.metrics.count("rattanmill_drain_cut", node.in_flight)
@@ -48,19 +48,20 @@
     )
 
 
-def _is_quiet(node: Node) -> bool:
-    """Whether nobody waits for this instance, and it finishes nothing alone.
+def _is_idle(node: Node) -> bool:
+    """Whether no request, peer call or background task is in flight.
 
-    Turns and acts go on when their caller has left, and other instances'
-    calls are no requests of our own; both would be cut off unseen.
+    Turns and acts continue after their caller disconnects, and calls of other
+    instances are not requests of this one. Shutdown would otherwise cut both
+    off unnoticed.
     """
     return not (node.in_flight or node.hub.served or node.tasks)
 
 
-async def _wait_for(condition: Callable[[], bool], until: float) -> bool:
+async def _wait_for(condition: Callable[[], bool], deadline: float) -> bool:
     loop = asyncio.get_running_loop()
     while not condition():
-        if loop.time() > until:
+        if loop.time() > deadline:
             return False
         await asyncio.sleep(_POLL_SECONDS)
     return True
--- a/libs/entry/src/rattanmill_entry/edge.py
+++ b/libs/entry/src/rattanmill_entry/edge.py
@@ -1,4 +1,4 @@
-"""The edge towards callers: bounds on connections, errors as problems."""
+"""Limits callers' connections and turns errors into problem details."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -7,16 +7,16 @@
 from aiohttp import web
 
 from rattanmill_core import Ran, Reason, refuse, start_loop
-from rattanmill_entry.failures import failed_request
+from rattanmill_entry.failures import handle_request_error
 from rattanmill_entry.node import Node
 from rattanmill_entry.problems import problem_response
 
-_ROUND_SECONDS = 0.5
+_SWEEP_INTERVAL_SECONDS = 0.5
 _Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
 
 def edge_middleware(node: Node) -> _Handler:
-    """Returns the outermost middleware: it counts and tells every error."""
+    """Returns the outermost middleware, which counts and reports errors."""
 
     @web.middleware
     async def edge(
@@ -26,7 +26,7 @@
         node.busy_connections.add(request.protocol)
         try:
             if len(node.busy_connections) > node.settings.connections:
-                return _full(node)
+                return _too_many_calls(node)
             return await handler(request)
         except web.HTTPException as error:
             if error.status not in (404, 405):
@@ -36,12 +36,12 @@
                 refuse(Reason.NO_SUCH_CALL, detail), node.metrics
             )
         except ConnectionError:
-            # The caller has gone.
+            # The caller disconnected.
             raise
         except Exception as error:
-            # One request must not take the others down, and its caller must
-            # not take it for one that never ran.
-            return failed_request(node, request, error)
+            # One request must not affect the others, and its caller must not
+            # conclude that it never ran.
+            return handle_request_error(node, request, error)
         finally:
             node.in_flight -= 1
             node.busy_connections.discard(request.protocol)
@@ -49,25 +49,25 @@
     return edge
 
 
-def _full(node: Node) -> web.Response:
-    detail = "Too many calls are under way here."
-    answer = problem_response(
+def _too_many_calls(node: Node) -> web.Response:
+    detail = "This instance has too many calls in flight."
+    response = problem_response(
         refuse(Reason.OVERLOADED, detail, ran=Ran.NO), node.metrics
     )
-    answer.force_close()
-    return answer
+    response.force_close()
+    return response
 
 
 class ConnectionLimit:
-    """Closes connections that send nothing, or are too many.
+    """Closes connections that are idle or exceed the limit.
 
-    A connection that never sends a whole request costs memory and a file
-    descriptor for as long as its caller likes. Enough of them, and nobody
-    else gets in.
+    A connection that never sends a complete request occupies memory and a file
+    descriptor until its caller closes it. Enough of them would block all other
+    callers.
 
     Args:
         node: The daemon's context.
-        server: The HTTP server whose connections are looked after.
+        server: The HTTP server whose connections are limited.
     """
 
     def __init__(self, node: Node, server: web.Server) -> None:
@@ -86,24 +86,24 @@
 
     async def _run(self) -> None:
         while True:
-            await asyncio.sleep(_ROUND_SECONDS)
+            await asyncio.sleep(_SWEEP_INTERVAL_SECONDS)
             self.sweep()
 
     def sweep(self) -> None:
-        """Closes what is idle for too long, oldest first beyond the limit."""
+        """Closes the oldest connections above the limit, and idle ones."""
         now = asyncio.get_running_loop().time()
         busy = self.node.busy_connections
         connections = self.server.connections
         self.idle_since = {
-            each: self.idle_since.get(each, now)
-            for each in connections
-            if each not in busy
+            connection: self.idle_since.get(connection, now)
+            for connection in connections
+            if connection not in busy
         }
         limits = self.node.settings
-        most = len(connections) - limits.connections
+        excess = len(connections) - limits.connections
         oldest = sorted(self.idle_since.items(), key=lambda pair: pair[1])
-        for place, (connection, since) in enumerate(oldest):
-            if place < most:
+        for index, (connection, since) in enumerate(oldest):
+            if index < excess:
                 self._close(connection, "too_many")
             elif now - since > limits.receive_seconds:
                 self._close(connection, "idle")
--- a/libs/entry/src/rattanmill_entry/failures.py
+++ b/libs/entry/src/rattanmill_entry/failures.py
@@ -1,9 +1,9 @@
-"""What happens to errors that nobody expected.
+"""Handles unexpected errors.
 
-A request that meets one is refused as ``internal``, and the log has the
+A request that fails with one is refused as ``internal``, and the log has the
 traceback with the ids of program and request. A broken invariant stops the
-whole process: going on from a state that is impossible could put wrong turns
-or spent budget into the log, which no restart would mend.
+whole process: continuing from an impossible state could write wrong turns or
+spent budget to the log, which no restart would repair.
 """
 
 import asyncio
@@ -17,38 +17,38 @@
 _log = part_logger("failure")
 
 
-def failed_request(
+def handle_request_error(
     node: Node, request: web.Request, error: Exception
 ) -> web.StreamResponse:
-    """Notes an error that a request met, and returns its answer."""
-    note_failure(node, error)
+    """Records an unexpected error of a request and returns the response."""
+    record_failure(node, error)
     if request.writer.output_size and request.transport:
-        # Part of an answer has gone out. Another one behind it would be read
-        # as its rest; a cut connection tells that it is not whole.
+        # Part of a response was sent. A second response would be read as its
+        # continuation; an aborted connection shows that it is incomplete.
         request.transport.abort()
-    detail = "The instance met an error of its own; its log has it."
+    detail = "The instance had an internal error; see its log."
     return problem_response(refuse(Reason.INTERNAL, detail), node.metrics)
 
 
 def watch_tasks(node: Node) -> None:
-    """Notes errors of the daemon's tasks, which nobody waits for."""
+    """Records errors of the daemon's tasks, which nothing awaits."""
 
-    def notice(
+    def handle_exception(
         loop: asyncio.AbstractEventLoop, context: dict[str, object]
     ) -> None:
         error = context.get("exception")
         if isinstance(error, Exception):
-            note_failure(node, error)
+            record_failure(node, error)
         else:
             _log.error("{}", context["message"])
 
-    asyncio.get_running_loop().set_exception_handler(notice)
+    asyncio.get_running_loop().set_exception_handler(handle_exception)
 
 
-def note_failure(node: Node, error: Exception) -> None:
-    """Logs an error; a broken invariant ends the process."""
+def record_failure(node: Node, error: Exception) -> None:
+    """Logs and counts an error; a broken invariant stops the process."""
     node.metrics.count("rattanmill_failures", error=type(error).__name__)
     _log.opt(exception=error).error("Unexpected {}.", type(error).__name__)
-    if isinstance(error, InvariantError) and node.broken is None:
-        node.broken = error
+    if isinstance(error, InvariantError) and node.invariant_error is None:
+        node.invariant_error = error
         node.stop.set()
--- a/libs/entry/src/rattanmill_entry/gossip.py
+++ b/libs/entry/src/rattanmill_entry/gossip.py
@@ -1,10 +1,10 @@
-"""Heartbeats between instances, and the configuration they spread.
+"""Heartbeats between instances, and distribution of the configuration.
 
 In each round an instance sends heartbeats to a fixed number of others of its
 failure domain, to one of another domain, and to owners it suspects to be dead;
-each is answered. What an instance sends does not grow with the fleet. A
-heartbeat tells the number of the configuration in force; who hears a higher
-one asks for the document.
+each receives a reply. The number that an instance sends does not grow with the
+fleet. A heartbeat contains the number of the configuration in force; an
+instance that receives a higher one requests the document.
 """
 
 import asyncio
@@ -19,10 +19,10 @@
     part_logger,
     start_loop,
 )
-from rattanmill_entry.members import forget_gone
-from rattanmill_entry.node import Heard, Node
+from rattanmill_entry.members import remove_gone_instances
+from rattanmill_entry.node import LastHeartbeat, Node
 from rattanmill_entry.route import peer_address
-from rattanmill_entry.signs import Signs
+from rattanmill_entry.signs import NoteExchange
 from rattanmill_platform import InstanceRecord
 from rattanmill_wire import (
     ConfigAsk,
@@ -35,11 +35,15 @@
 
 _log = part_logger("gossip")
 _SUCCESSORS = 2
-Answer = Callable[[Message], Awaitable[None]]
+Reply = Callable[[Message], Awaitable[None]]
 
 
-def take_config(node: Node, document: ConfigDocument) -> bool:
-    """Puts a configuration in force if its number is higher."""
+def adopt_config(node: Node, document: ConfigDocument) -> bool:
+    """Puts a configuration in force if its number is higher.
+
+    Returns:
+        Whether it was put in force.
+    """
     if document.number <= node.config.number:
         return False
     node.config = document
@@ -49,7 +53,7 @@
 
 
 def heartbeat(node: Node, *, reply: bool) -> Heartbeat:
-    """Returns what this instance says of itself to others."""
+    """Returns the heartbeat of this instance."""
     return Heartbeat(
         node.settings.name,
         node.settings.domain,
@@ -61,11 +65,11 @@
 
 
 class Gossip:
-    """Sends heartbeats and answers those of others."""
+    """Sends heartbeats and replies to those of others."""
 
-    def __init__(self, node: Node, signs: Signs) -> None:
+    def __init__(self, node: Node, note_exchange: NoteExchange) -> None:
         self.node = node
-        self.signs = signs
+        self.note_exchange = note_exchange
         self.task: asyncio.Task | None = None
 
     async def __aenter__(self) -> Self:
@@ -78,90 +82,96 @@
 
     async def _run(self) -> None:
         while True:
-            forget_gone(self.node, asyncio.get_running_loop().time())
-            await self.beat()
+            remove_gone_instances(self.node, asyncio.get_running_loop().time())
+            await self.send_round()
             await asyncio.sleep(self.node.lease.silence_seconds / 5)
 
-    async def beat(self) -> None:
+    async def send_round(self) -> None:
         """Sends one round of heartbeats."""
         for record in self._partners():
             peer = self.node.hub.peer(
                 record.name, peer_address(self.node, record)
             )
-            # A send to an instance that died long ago waits for room on its
-            # link. Waited for here, it would hold up the heartbeats to the
-            # living, who would then take this instance for dead.
-            self.node.run_beside(peer.send(heartbeat(self.node, reply=False)))
+            # A send to an instance that died long ago waits for buffer space
+            # on its link. Awaiting it here would delay the heartbeats to live
+            # instances, which would then consider this instance dead.
+            self.node.spawn_detached(
+                peer.send(heartbeat(self.node, reply=False))
+            )
 
     def _partners(self) -> list[InstanceRecord]:
-        """Returns whom this round's heartbeats go to."""
+        """Returns the instances to send this round's heartbeats to."""
         node = self.node
         own = node.settings
         known = [r for r in node.addresses.values() if r.name != own.name]
-        inside = [r for r in known if r.domain == own.domain]
-        outside = [r for r in known if r.domain != own.domain]
-        partners = self._successors(inside)
-        if outside:
-            partners.append(random.choice(outside))
-        asked = [
+        same_domain = [r for r in known if r.domain == own.domain]
+        other_domains = [r for r in known if r.domain != own.domain]
+        partners = self._successors(same_domain)
+        if other_domains:
+            partners.append(random.choice(other_domains))
+        probed = [
             r for r in known if r.name in node.suspects or self._is_awaited(r)
         ]
-        return list({r.name: r for r in [*partners, *asked]}.values())
+        return list({r.name: r for r in [*partners, *probed]}.values())
 
     def _is_awaited(self, record: InstanceRecord) -> bool:
-        """Whether a call waits for an instance that has been quiet lately.
+        """Whether a call waits for an instance without a recent message.
 
-        Nobody else may be asking an instance of another domain whether it
-        lives. Its silence would be taken for its death, and a call whose
-        engine takes long would be given up while it runs.
+        Possibly no other instance sends heartbeats to an instance of another
+        domain. Without a reply it would be considered dead, and a call with a
+        slow engine would be abandoned while it runs.
         """
         peer = self.node.hub.peers.get(record.name)
         if peer is None or not peer.streams:
             return False
-        quiet = asyncio.get_running_loop().time() - peer.heard
-        return quiet > self.node.lease.silence_seconds / 4
+        silent_seconds = asyncio.get_running_loop().time() - peer.heard
+        return silent_seconds > self.node.lease.silence_seconds / 4
 
-    def _successors(self, inside: list[InstanceRecord]) -> list[InstanceRecord]:
-        """Returns the next ones in the ring of names, and one at random.
+    def _successors(
+        self, same_domain: list[InstanceRecord]
+    ) -> list[InstanceRecord]:
+        """Returns the successors in the ring of names, and a random instance.
 
-        Those that have been silent are passed over: an instance whose next
-        ones have died together would otherwise hear nobody and take itself
-        for cut off.
+        Unresponsive instances are skipped. Otherwise an instance whose
+        successors died together would receive no heartbeats and consider
+        itself partitioned.
         """
         name = self.node.settings.name
-        ring = sorted(inside, key=lambda r: (r.name <= name, r.name))
-        heard = [r for r in ring if self._is_heard(r.name)]
-        chosen = (heard or ring)[:_SUCCESSORS]
+        ring = sorted(same_domain, key=lambda r: (r.name <= name, r.name))
+        responsive = [r for r in ring if self._is_responsive(r.name)]
+        chosen = (responsive or ring)[:_SUCCESSORS]
         return [*chosen, random.choice(ring)] if ring else []
 
-    def _is_heard(self, name: str) -> bool:
+    def _is_responsive(self, name: str) -> bool:
         peer = self.node.hub.peers.get(name)
         if peer is None:
             return True
-        silent = asyncio.get_running_loop().time() - peer.heard
-        return silent < self.node.lease.silence_seconds
+        silent_seconds = asyncio.get_running_loop().time() - peer.heard
+        return silent_seconds < self.node.lease.silence_seconds
 
-    def notice(self, message: Message, answer: Answer) -> None:
-        """Takes a message that is not part of a call."""
+    def handle_message(self, message: Message, reply: Reply) -> None:
+        """Handles a message that is not part of a call."""
         node = self.node
         match message:
             case Heartbeat():
-                self._hear(message, answer)
+                self._handle_heartbeat(message, reply)
             case ConfigAsk():
-                node.spawn(answer(ConfigTell(encode_config(node.config))))
+                node.spawn(reply(ConfigTell(encode_config(node.config))))
             case ConfigTell():
                 document = decode_config(message.document)
                 if isinstance(document, ConfigDocument):
-                    take_config(node, document)
+                    adopt_config(node, document)
             case EndpointNotes():
-                self.signs.hear(message)
+                self.note_exchange.receive(message)
             case PinsHeld():
                 node.memory.handle_pins_held(message)
 
-    def _hear(self, message: Heartbeat, answer: Answer) -> None:
+    def _handle_heartbeat(self, message: Heartbeat, reply: Reply) -> None:
         node = self.node
         now = asyncio.get_running_loop().time()
-        node.heard[message.sender] = Heard(message.config_number, now)
+        node.last_heartbeats[message.sender] = LastHeartbeat(
+            message.config_number, now
+        )
         if peer := node.hub.peers.get(message.sender):
             peer.heard = now
         if message.domain == node.settings.domain:
@@ -169,6 +179,6 @@
         if message.leaving:
             node.leaving.add(message.incarnation)
         if not message.reply:
-            node.spawn(answer(heartbeat(node, reply=True)))
+            node.spawn(reply(heartbeat(node, reply=True)))
         if message.config_number > node.config.number:
-            node.spawn(answer(ConfigAsk()))
+            node.spawn(reply(ConfigAsk()))
--- a/libs/entry/src/rattanmill_entry/handover.py
+++ b/libs/entry/src/rattanmill_entry/handover.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 
 from rattanmill_core import loop_seconds
-from rattanmill_entry.members import share, staying
-from rattanmill_entry.node import Node, Parting
+from rattanmill_entry.members import fair_shard_count, remaining_instances
+from rattanmill_entry.node import Node, ShardHandover
 from rattanmill_entry.owners import NO_OWNER, transfer_shard
 from rattanmill_platform import (
     Conflict,
@@ -50,7 +50,7 @@
         is_moving = self.move_task and not self.move_task.done()
         if owners is None or is_moving or time.monotonic() < self.next_move_at:
             return
-        staying_instances = staying(self.node)
+        staying_instances = remaining_instances(self.node)
         held = {
             name: sum(1 for o in owners.shards if o.incarnation == incarnation)
             for name, incarnation in staying_instances.items()
@@ -58,7 +58,7 @@
         own_count = held.get(self.node.settings.name, 0)
         least_loaded = min(held, key=lambda other: held[other], default="")
         if (
-            own_count <= share(self.node, len(owners.shards))
+            own_count <= fair_shard_count(self.node, len(owners.shards))
             or held[least_loaded] + 1 >= own_count
         ):
             return
@@ -94,7 +94,7 @@
         key = shard.log.name
         if self.node.shards.pop(key, None) is not shard:
             return False
-        self.node.parting[key] = Parting(shard, loop_seconds())
+        self.node.handovers[key] = ShardHandover(shard, loop_seconds())
         try:
             ready = await shard.drain(drain_seconds)
             ready = ready and await shard.log.flush(flush_seconds)
@@ -102,7 +102,7 @@
                 await self._write_transfer(shard, target) if ready else None
             )
         finally:
-            del self.node.parting[key]
+            del self.node.handovers[key]
         if isinstance(changed, Unavailable):
             # Another instance may own it already; if not, it is loaded again.
             self.write_uncertain = True
@@ -164,7 +164,9 @@
     def _successors(self) -> list[str]:
         """Names of possible next owners; one empty name if there are none."""
         name = self.node.settings.name
-        return [other for other in staying(self.node) if other != name] or [""]
+        return [
+            other for other in remaining_instances(self.node) if other != name
+        ] or [""]
 
     async def forward_received(self, owners: DomainShards | None) -> None:
         """Transfers shards that were assigned here during the shutdown.
@@ -175,7 +177,7 @@
         successors = self._successors()
         for number, owner in enumerate(owners.shards if owners else ()):
             key = (self.domain, number)
-            is_local = key in self.node.shards or key in self.node.parting
+            is_local = key in self.node.shards or key in self.node.handovers
             is_own = owner.incarnation == self.node.incarnation
             if not is_own or is_local:
                 continue
--- a/libs/entry/src/rattanmill_entry/lifecycle.py
+++ b/libs/entry/src/rattanmill_entry/lifecycle.py
@@ -1,4 +1,4 @@
-"""Makes, shows and ends programs at their owner."""
+"""Creates, shows and ends programs at their owner."""
 
 import time
 
@@ -19,7 +19,7 @@
 
 
 class BudgetBody(msgspec.Struct, forbid_unknown_fields=True):
-    """Budget as callers write it; what is missing comes from the class."""
+    """Budget in a caller's body; missing fields default to the class."""
 
     tokens: int | None = None
     turns: int | None = None
@@ -73,21 +73,21 @@
 
 
 async def create(node: Node, shard: Shard, start: CallStart) -> list[Reply]:
-    """Makes a program in this shard."""
-    made = _made(node, shard, start)
-    if isinstance(made, Refusal):
-        return [refused(start, made)]
-    appended = await shard.keep(made)
+    """Creates a program in this shard."""
+    created = _new_program(node, shard, start)
+    if isinstance(created, Refusal):
+        return [refused(start, created)]
+    appended = await shard.keep(created)
     if not isinstance(appended, Committed):
-        # It was not promised to anybody: end it, so that a sub-agent's share
-        # goes back to its parent.
-        await shard.keep(ProgramEnded(made.program, time.time()))
+        # The caller never learned its id. Ends it, so that a sub-agent's
+        # budget returns to its parent.
+        await shard.keep(ProgramEnded(created.program, time.time()))
         if isinstance(appended, Fenced):
             detail = "Another instance owns the shard now."
             return [refused(start, refuse(Reason.NOT_OWNER, detail))]
         detail = "The program cannot be kept while the store is away."
         return [refused(start, refuse(Reason.STORE_UNAVAILABLE, detail))]
-    body = msgspec.json.encode(_Created(made.program))
+    body = msgspec.json.encode(_Created(created.program))
     return whole_reply(start, 201, JSON_HEADERS, body)
 
 
@@ -96,14 +96,14 @@
 
 
 def parse_parent(body: bytes) -> str:
-    """Returns the parent a body names; empty if it names none or is broken."""
+    """Returns the parent in a body; empty if none is set or it is invalid."""
     try:
         return msgspec.json.decode(body, type=_Parent).parent
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
         return ""
 
 
-def _made(
+def _new_program(
     node: Node, shard: Shard, start: CallStart
 ) -> ProgramCreated | Refusal:
     try:
@@ -119,9 +119,9 @@
         detail = "The body and the caller name different workspaces."
         return refuse(Reason.FOREIGN_PROGRAM, detail)
     budget = body.budget
-    tokens = _least(budget.tokens, klass.max_tokens)
-    turns = _least(budget.turns, klass.max_turns)
-    seconds = _least(budget.seconds, klass.max_seconds)
+    tokens = _capped(budget.tokens, klass.max_tokens)
+    turns = _capped(budget.turns, klass.max_turns)
+    seconds = _capped(budget.seconds, klass.max_seconds)
     if min(tokens, turns, seconds) <= 0:
         return refuse(Reason.BAD_REQUEST, "budget: must be above 0")
     if body.parent:
@@ -152,12 +152,12 @@
     )
 
 
-def _least(wanted: float | None, most: float) -> float:
-    return most if wanted is None else min(wanted, most)
+def _capped(requested: float | None, maximum: float) -> float:
+    return maximum if requested is None else min(requested, maximum)
 
 
 def show(node: Node, program: Program, start: CallStart) -> list[Reply]:
-    """Shows a program's state."""
+    """Returns the replies with a program's state."""
     made = program.made
     age = time.time() - made.created
     shown = _Shown(
@@ -179,7 +179,7 @@
 
 
 def history(program: Program, start: CallStart) -> list[Reply]:
-    """Shows all kept turns and the conversation they add up to."""
+    """Returns the replies with all kept turns and the whole conversation."""
     turns = [
         _HistoryTurn(
             turn.number,
@@ -197,7 +197,7 @@
 async def end(
     node: Node, shard: Shard, program: Program, start: CallStart
 ) -> list[Reply]:
-    """Ends a program after the turn that is under way."""
+    """Ends a program after the turn in progress."""
     async with program.lock:
         if program.ended is None:
             record = ProgramEnded(program.made.program, time.time())
--- a/libs/entry/src/rattanmill_entry/main.py
+++ b/libs/entry/src/rattanmill_entry/main.py
@@ -37,13 +37,13 @@
         settings = load_settings(arguments.settings)
         _check_secrets(settings)
         if arguments.check:
-            for sentence in open_secrets(settings):
-                print(f"warning: {sentence}", file=sys.stderr)
+            for warning in open_secrets(settings):
+                print(f"warning: {warning}", file=sys.stderr)
             print(f"{arguments.settings}: ok")
             return
         configure_logs(settings.log_format, settings.log_level)
-        for sentence in open_secrets(settings):
-            _log.warning("{}", sentence)
+        for warning in open_secrets(settings):
+            _log.warning("{}", warning)
         asyncio.run(run_daemon(settings))
     except RattanmillError as error:
         print(error.message, file=sys.stderr)
@@ -51,14 +51,14 @@
 
 
 def _check_secrets(settings: Settings) -> None:
-    """Reads every file with secrets, so that all errors show at once."""
+    """Reads every file with secrets and reports all errors at once."""
     errors = []
-    for read in (
+    for load in (
         lambda: load_secret(settings.secret_file),
         lambda: load_access(settings),
     ):
         try:
-            read()
+            load()
         except SettingsError as error:
             errors.append(error.message)
     if errors:
--- a/libs/entry/src/rattanmill_entry/members.py
+++ b/libs/entry/src/rattanmill_entry/members.py
@@ -1,7 +1,7 @@
-"""Who is in the failure domain, and who is gone for good.
+"""Members of the failure domain, and removal of those that are gone.
 
-Instances are replaced all day under new names. If none were forgotten, each
-one ever seen would be sent heartbeats for ever, and each change of the
+Instances are replaced all day under new names. If none were removed, each one
+ever seen would be sent heartbeats forever, and each change of the
 configuration would end with a list of dead instances that it did not reach.
 """
 
@@ -9,15 +9,15 @@
 
 from rattanmill_entry.node import Node
 
-_GONE_LEASES = 40
+_REMOVAL_LEASE_PERIODS = 40
 
 
-def forget_gone(node: Node, now: float) -> None:
-    """Drops who has no lease, owns nothing and was silent for long.
+def remove_gone_instances(node: Node, now: float) -> None:
+    """Removes instances without lease, shards or recent heartbeats.
 
-    An instance that is cut off from the service has no lease either, but it
-    owns shards or its peers hear it; and while the service is silent nobody's
-    lease says anything.
+    An instance that is partitioned from the platform store has no lease
+    either, but it owns shards or its peers receive its heartbeats. While the
+    store is unavailable, leases give no information about any instance.
 
     Args:
         node: The daemon's context.
@@ -40,20 +40,20 @@
 
 def _is_gone(node: Node, name: str, now: float) -> bool:
     since = node.gone_since.setdefault(name, now)
-    if heard := node.heard.get(name):
-        since = max(since, heard.at)
-    return now - since > _GONE_LEASES * node.settings.lease_seconds
+    if last := node.last_heartbeats.get(name):
+        since = max(since, last.at)
+    return now - since > _REMOVAL_LEASE_PERIODS * node.settings.lease_seconds
 
 
 def _forget(node: Node, name: str) -> None:
     del node.addresses[name]
     del node.gone_since[name]
-    node.heard.pop(name, None)
+    node.last_heartbeats.pop(name, None)
     node.hub.forget(name)
 
 
-def living_instances(node: Node) -> dict[str, str]:
-    """Incarnations of the domain's instances with a lease, by name."""
+def live_instances(node: Node) -> dict[str, str]:
+    """Returns the incarnations of the domain's leased instances, by name."""
     return {
         record.name: record.incarnation
         for record in node.live.instances.values()
@@ -61,15 +61,15 @@
     }
 
 
-def staying(node: Node) -> dict[str, str]:
-    """Living instances that have not said that they are shutting down."""
+def remaining_instances(node: Node) -> dict[str, str]:
+    """Returns live instances that have not announced their shutdown."""
     return {
         name: incarnation
-        for name, incarnation in living_instances(node).items()
+        for name, incarnation in live_instances(node).items()
         if incarnation not in node.leaving
     }
 
 
-def share(node: Node, count: int) -> int:
-    """Returns how many of ``count`` shards an instance should own."""
-    return math.ceil(count / max(1, len(staying(node))))
+def fair_shard_count(node: Node, count: int) -> int:
+    """Returns how many of ``count`` shards one instance should own."""
+    return math.ceil(count / max(1, len(remaining_instances(node))))
--- a/libs/entry/src/rattanmill_entry/node.py
+++ b/libs/entry/src/rattanmill_entry/node.py
@@ -1,4 +1,4 @@
-"""The context of one daemon, passed to every part."""
+"""The shared context of one daemon, passed to every component."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -26,24 +26,24 @@
     from rattanmill_entry.quarantine import CrashGuard
 
 
-class Heard(msgspec.Struct, frozen=True):
-    """What another instance last said.
+class LastHeartbeat(msgspec.Struct, frozen=True):
+    """The last heartbeat of another instance.
 
     Attributes:
         config_number: Number of its configuration.
-        at: Loop time.
+        at: Loop time at which it arrived.
     """
 
     config_number: int
     at: float
 
 
-class Parting(msgspec.Struct, frozen=True):
-    """A shard on its way from this instance to another.
+class ShardHandover(msgspec.Struct, frozen=True):
+    """A shard that this instance is handing over to another.
 
     Attributes:
-        shard: The shard, which takes no calls any more.
-        since: Loop time at which it stopped to.
+        shard: The shard, which accepts no more calls.
+        since: Loop time at which it stopped accepting them.
     """
 
     shard: Shard
@@ -51,23 +51,24 @@
 
 
 class Node:
-    """What the parts of one daemon share.
+    """State shared by the components of one daemon.
 
     Attributes:
         settings: This daemon's settings.
-        incarnation: Random id of this run.
+        incarnation: Run id: random id of this run of the process.
         config: Operators' configuration in force here.
         shards: Shards owned, by failure domain and number.
-        parting: Shards that are neither served here nor owned elsewhere yet.
-        addresses: Last known record of each instance ever seen.
-        suspects: Owners of our domain whose lease has lapsed, with the loop
-            time since which they get heartbeats from here.
-        gone_since: Loop time since which an instance seems gone, by name.
-        heard: What each other instance last said, by name.
+        handovers: Shards that are no longer served here, but not yet owned
+            by another instance.
+        addresses: Last known record of each known instance.
+        suspects: Owners of the own domain whose lease has expired, with the
+            loop time since which this instance sends them heartbeats.
+        gone_since: Loop time since which an instance appears gone, by name.
+        last_heartbeats: Last heartbeat of each other instance, by name.
         draining: Whether the daemon is shutting down.
-        leaving: Incarnations that have said they are shutting down.
-        stop: Set when the daemon is to end.
-        broken: The broken invariant that ends it, if one does.
+        leaving: Incarnations that have announced their shutdown.
+        stop: Set when the daemon must stop.
+        invariant_error: The broken invariant that stops the daemon, if any.
     """
 
     settings: Settings
@@ -91,46 +92,47 @@
         self.settings = settings
         self.incarnation = incarnation
         self.shards: dict[tuple[str, int], Shard] = {}
-        self.parting: dict[tuple[str, int], Parting] = {}
+        self.handovers: dict[tuple[str, int], ShardHandover] = {}
         self.addresses: dict[str, InstanceRecord] = {}
         self.suspects: dict[str, float] = {}
         self.gone_since: dict[str, float] = {}
-        self.heard: dict[str, Heard] = {}
+        self.last_heartbeats: dict[str, LastHeartbeat] = {}
         self.draining = False
         self.leaving: set[str] = set()
         self.stop = asyncio.Event()
-        self.broken: InvariantError | None = None
+        self.invariant_error: InvariantError | None = None
         self.tasks: set[asyncio.Task] = set()
-        self.beside: set[asyncio.Task] = set()
+        self.detached_tasks: set[asyncio.Task] = set()
         self.in_flight = 0
         self.busy_connections: set[web.RequestHandler] = set()
 
     def link(self, record: InstanceRecord) -> Peer:
         """Returns the link to another instance."""
-        inside = record.domain == self.settings.domain
-        address = record.peer if inside else record.outside
+        same_domain = record.domain == self.settings.domain
+        address = record.peer if same_domain else record.outside
         return self.hub.peer(record.name, address)
 
     def spawn(self, work: Coroutine) -> asyncio.Task:
-        """Starts a task that outlives the request that asked for it."""
+        """Starts a task that outlives the request that started it."""
         task = asyncio.create_task(work)
         self.tasks.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._on_task_done)
         return task
 
-    def run_beside(self, work: Coroutine) -> asyncio.Task:
-        """Starts a task that a shutdown does not wait for."""
+    def spawn_detached(self, work: Coroutine) -> asyncio.Task:
+        """Starts a task that shutdown does not wait for."""
         task = asyncio.create_task(work)
-        self.beside.add(task)
-        task.add_done_callback(self._ended)
+        self.detached_tasks.add(task)
+        task.add_done_callback(self._on_task_done)
         return task
 
-    def _ended(self, task: asyncio.Task) -> None:
+    def _on_task_done(self, task: asyncio.Task) -> None:
         self.tasks.discard(task)
-        self.beside.discard(task)
+        self.detached_tasks.discard(task)
         if task.cancelled() or task.exception() is None:
             return
-        # An error that waits to be collected as garbage is noticed late.
+        # asyncio would report the error only once the task is garbage
+        # collected.
         task.get_loop().call_exception_handler(
             {"message": "A task failed.", "exception": task.exception()}
         )
--- a/libs/entry/src/rattanmill_entry/outbox.py
+++ b/libs/entry/src/rattanmill_entry/outbox.py
@@ -1,4 +1,4 @@
-"""Replies of a turn on their way to whoever still listens."""
+"""Queue of a turn's replies to its caller."""
 
 import asyncio
 from collections import deque
@@ -9,7 +9,7 @@
 from rattanmill_entry.replies import Replies, Reply
 from rattanmill_wire import CallStart, ReplyChunk, ReplyEnd, ReplyHead
 
-_MOST_PARTS = 64
+_MAX_QUEUED_PARTS = 64
 
 
 class _Part(msgspec.Struct):
@@ -20,20 +20,20 @@
 
 
 class Outbox:
-    """What a turn has to say, in order, bounded for a caller that reads slowly.
+    """A turn's replies in order, bounded when the caller reads slowly.
 
-    The engine is not held up by its caller. Parts that wait are joined, so
-    that what waits is never more than the text of the answer, which is held
-    for the history anyway. Without this a caller that stops reading would
-    cost some hundred bytes for each token until memory is gone.
+    A slow caller does not block the engine. Queued parts are joined, so that
+    the queue never holds more than the text of the answer, which is kept for
+    the history anyway. Otherwise a caller that stops reading would cost some
+    hundred bytes per token until memory is exhausted.
 
     Args:
-        start: The call that is answered.
+        start: The call that the replies belong to.
     """
 
     def __init__(self, start: CallStart) -> None:
         self.start = start
-        self.waiting: deque[Reply | _Part | bytes | None] = deque()
+        self.queue: deque[Reply | _Part | bytes | None] = deque()
         self.more = asyncio.Event()
         self.streaming = False
         self.abandoned = False
@@ -50,8 +50,8 @@
 
     def part(self, model: str, fields: dict) -> None:
         """Adds part of a streamed answer."""
-        last = self.waiting[-1] if self.waiting else None
-        if len(self.waiting) >= _MOST_PARTS and isinstance(last, _Part):
+        last = self.queue[-1] if self.queue else None
+        if len(self.queue) >= _MAX_QUEUED_PARTS and isinstance(last, _Part):
             join_fields(last.fields, fields)
         else:
             self._add(_Part(model, dict(fields)))
@@ -61,27 +61,27 @@
         self._add(events)
 
     def close(self) -> None:
-        """Says that nothing will be added."""
+        """Marks the end of the replies."""
         self._add(None)
 
     def abandon(self) -> None:
-        """Drops what waits: the caller has gone."""
+        """Drops the queue after the caller disconnected."""
         self.abandoned = True
-        self.waiting.clear()
+        self.queue.clear()
 
     def _add(self, *items: Reply | _Part | bytes | None) -> None:
         if not self.abandoned:
-            self.waiting.extend(items)
+            self.queue.extend(items)
             self.more.set()
 
     async def replies(self) -> Replies:
-        """Yields everything until it is closed."""
+        """Yields the replies until the outbox is closed."""
         sent = 0
         while True:
-            while not self.waiting:
+            while not self.queue:
                 self.more.clear()
                 await self.more.wait()
-            match self.waiting.popleft():
+            match self.queue.popleft():
                 case None:
                     return
                 case _Part() as part:
@@ -97,24 +97,24 @@
                     yield reply
 
 
-def join_fields(into: dict, more: dict) -> None:
+def join_fields(into: dict, later: dict) -> None:
     """Adds the strings of a later delta to those of an earlier one."""
-    for name, value in more.items():
-        known = into.get(name)
-        if name == "tool_calls" and isinstance(known, list):
-            into[name] = _join_calls(known, value)
-        elif isinstance(known, str) and isinstance(value, str):
-            into[name] = known if name == "role" else known + value
-        elif isinstance(known, dict) and isinstance(value, dict):
-            into[name] = dict(known)
+    for name, value in later.items():
+        earlier = into.get(name)
+        if name == "tool_calls" and isinstance(earlier, list):
+            into[name] = _join_calls(earlier, value)
+        elif isinstance(earlier, str) and isinstance(value, str):
+            into[name] = earlier if name == "role" else earlier + value
+        elif isinstance(earlier, dict) and isinstance(value, dict):
+            into[name] = dict(earlier)
             join_fields(into[name], value)
         else:
             into[name] = value
 
 
-def _join_calls(known: list[dict], more: list[dict]) -> list[dict]:
+def _join_calls(earlier: list[dict], later: list[dict]) -> list[dict]:
     calls: dict[int, dict] = {}
-    for call in [*known, *more]:
+    for call in [*earlier, *later]:
         index = call.get("index", 0)
         if index not in calls:
             calls[index] = dict(call)
--- a/libs/entry/src/rattanmill_entry/ownership.py
+++ b/libs/entry/src/rattanmill_entry/ownership.py
@@ -7,7 +7,7 @@
 
 from rattanmill_core import InvariantError, part_logger
 from rattanmill_entry.handover import Handover
-from rattanmill_entry.members import living_instances, share
+from rattanmill_entry.members import fair_shard_count, live_instances
 from rattanmill_entry.node import Node
 from rattanmill_entry.owners import (
     NO_OWNER,
@@ -62,8 +62,8 @@
 
     async def __aenter__(self) -> Self:
         self.tasks = [
-            self.node.run_beside(self._run()),
-            self.node.run_beside(self._run_maintenance()),
+            self.node.spawn_detached(self._run()),
+            self.node.spawn_detached(self._run_maintenance()),
         ]
         return self
 
@@ -156,7 +156,7 @@
         )
         if isinstance(stored, Unavailable):
             return
-        moving_shards = [each.shard for each in node.parting.values()]
+        moving_shards = [each.shard for each in node.handovers.values()]
         held = [*node.shards.values(), *moving_shards]
         for shard in held:
             if self._is_lost(shard, stored.owners):
@@ -202,7 +202,7 @@
     async def _load_owned(self, owners: DomainShards | None) -> None:
         for number, owner in enumerate(owners.shards if owners else []):
             key = (self.domain, number)
-            is_local = key in self.node.shards or key in self.node.parting
+            is_local = key in self.node.shards or key in self.node.handovers
             retry_pending = time.monotonic() < self.retry_at.get(key, 0.0)
             if self._is_own(owner) and not is_local and not retry_pending:
                 await self._load(number, owner.epoch)
@@ -304,7 +304,7 @@
         )
 
     def _update_suspects(self, owners: DomainShards | None) -> None:
-        living = living_instances(self.node)
+        living = live_instances(self.node)
         expired = {
             owner.owner
             for owner in (owners.shards if owners else [])
@@ -318,10 +318,10 @@
     async def _claim_free_shards(self, owners: DomainShards | None) -> None:
         count = self._shard_count(owners)
         known = owners.shards if owners else [NO_OWNER] * count
-        living = living_instances(self.node)
+        living = live_instances(self.node)
         free = [n for n, o in enumerate(known) if self._is_free(o, living)]
         held = sum(1 for owner in known if self._is_own(owner))
-        to_claim = free[: max(0, share(self.node, count) - held)]
+        to_claim = free[: max(0, fair_shard_count(self.node, count) - held)]
         if not to_claim:
             return
         node = self.node
--- a/libs/entry/src/rattanmill_entry/problems.py
+++ b/libs/entry/src/rattanmill_entry/problems.py
@@ -1,4 +1,4 @@
-"""Refusals as HTTP answers: problem details (RFC 9457)."""
+"""Encodes refusals as HTTP problem details (RFC 9457)."""
 
 import math
 
@@ -8,11 +8,11 @@
 from rattanmill_core import Metrics, Ran, Refusal, part_logger
 
 _log = part_logger("answer")
-_TYPE = "application/problem+json"
+_CONTENT_TYPE = "application/problem+json"
 
 
 class Problem(msgspec.Struct, omit_defaults=True):
-    """Body of a refusal."""
+    """JSON body of a refusal."""
 
     title: str
     status: int
@@ -38,10 +38,10 @@
     )
 
 
-def note_refusal(refusal: Refusal, metrics: Metrics) -> None:
-    """Counts a refusal, and logs it if nobody knows whether the call ran.
+def record_refusal(refusal: Refusal, metrics: Metrics) -> None:
+    """Counts a refusal, and logs it if the call may have run.
 
-    The detail may quote an endpoint's answer and is not logged.
+    The detail may quote an endpoint's response and is not logged.
     """
     metrics.refused(refusal)
     if refusal.ran is Ran.UNKNOWN:
@@ -49,14 +49,14 @@
 
 
 def problem_response(refusal: Refusal, metrics: Metrics) -> web.Response:
-    """Returns the HTTP answer of a refusal and counts it."""
-    note_refusal(refusal, metrics)
+    """Returns the HTTP response for a refusal and counts it."""
+    record_refusal(refusal, metrics)
     headers = {}
     if refusal.retry_after is not None:
         headers["Retry-After"] = str(math.ceil(refusal.retry_after))
     return web.Response(
         status=refusal.status,
         body=problem_body(refusal),
-        content_type=_TYPE,
+        content_type=_CONTENT_TYPE,
         headers=headers,
     )
--- a/libs/entry/src/rattanmill_entry/quarantine.py
+++ b/libs/entry/src/rattanmill_entry/quarantine.py
@@ -1,4 +1,4 @@
-"""Keeps requests that crash endpoints from being sent to the next ones."""
+"""Quarantines requests that crash endpoints, so they crash no others."""
 
 import asyncio
 import contextlib
@@ -12,184 +12,191 @@
 from rattanmill_entry.chatbody import ChatBody
 from rattanmill_entry.engines import EndpointMonitor, ProbeResult
 from rattanmill_entry.node import Node
-from rattanmill_entry.signs import Signs
+from rattanmill_entry.signs import NoteExchange
 from rattanmill_entry.upstream import Failed
 from rattanmill_policy import EndpointState, Outcome
 from rattanmill_wire import CallStart
 
 _log = part_logger("quarantine")
-_PRINT_BYTES = 16
+_FINGERPRINT_BYTES = 16
 # Time for the other instances to report what they had in flight.
-_REPORT_SECONDS = 0.2
-# Time in which an outage of a failure domain shows at several endpoints.
-_OTHERS_SECONDS = 0.3
-_GONE_PAUSES_SECONDS = (0.0, 0.1, 0.3)
-_MANY = 3
-_LOOKED_AT = 4
-_MOST_EXCUSED = 10_000
-# Time that a suspect has for itself before the next one runs: a request that
-# crashes its endpoint mostly does so within it.
-_APART_SECONDS = 0.4
-# Longest time that a suspect waits for another to leave an endpoint.
-_ALONE_SECONDS = 2.0
-# Shorter ones, such as "go on", are said in many programs: what one program's
-# history makes of them is no reason to refuse them in another.
-_LEAST_TELLING_BYTES = 256
+_REPORT_WAIT_SECONDS = 0.2
+# An outage of a failure domain shows at several endpoints within this time.
+_OUTAGE_WINDOW_SECONDS = 0.3
+_PROBE_DELAYS_SECONDS = (0.0, 0.1, 0.3)
+_MIN_OUTAGE_ENDPOINTS = 3
+_SIBLINGS_PROBED = 4
+_MAX_EXCUSED = 10_000
+# Delay between the retries of two suspects. A request that crashes its
+# endpoint mostly does so within it.
+_RETRY_SPACING_SECONDS = 0.4
+# Maximum time that a suspect waits for another one at the same endpoint.
+_MAX_ISOLATION_WAIT_SECONDS = 2.0
+# Shorter messages, such as "go on", occur in many programs. A crash that they
+# cause with one program's history is no reason to refuse them in another.
+_MIN_DISTINCTIVE_BYTES = 256
 
 
 class CrashGuard:
-    """Counts crashes against requests and refuses those that are condemned.
+    """Counts crashes per request and refuses quarantined requests.
 
     Args:
         node: The daemon's context.
-        signs: Holds and tells suspicions.
-        watch: Confirms crashes.
+        note_exchange: Stores and publishes suspicions.
+        watch: Probes endpoints to confirm crashes.
     """
 
     def __init__(
-        self, node: Node, signs: Signs, watch: EndpointMonitor
+        self, node: Node, note_exchange: NoteExchange, watch: EndpointMonitor
     ) -> None:
         self.node = node
-        self.signs = signs
+        self.note_exchange = note_exchange
         self.watch = watch
         self.locks: dict[str, asyncio.Lock] = {}
         self.excused: set[bytes] = set()
 
-    def refusal(self, prints: list[bytes], ran: Ran) -> Refusal | None:
-        """Returns the refusal for a request that must not run."""
-        quarantine = self.signs.quarantine
-        if not any(quarantine.is_quarantined(each) for each in prints):
+    def refusal(self, fingerprints: list[bytes], ran: Ran) -> Refusal | None:
+        """Returns the refusal of a quarantined request, else None."""
+        quarantine = self.note_exchange.quarantine
+        if not any(quarantine.is_quarantined(each) for each in fingerprints):
             return None
         detail = "Endpoints crashed whenever they ran this request."
         return refuse(Reason.QUARANTINED, detail, ran=ran)
 
     @contextlib.asynccontextmanager
-    async def alone(
-        self, prints: list[bytes], state: EndpointState
+    async def isolate(
+        self, fingerprints: list[bytes], state: EndpointState
     ) -> AsyncIterator[None]:
-        """Keeps suspects apart, so that a crash shows which is to blame."""
-        quarantine = self.signs.quarantine
-        if not any(quarantine.is_suspected(each) for each in prints):
+        """Runs suspects one at a time, so that a crash has a single cause."""
+        quarantine = self.note_exchange.quarantine
+        if not any(quarantine.is_suspected(each) for each in fingerprints):
             yield
             return
         name = state.endpoint.name
         lock = self.locks.setdefault(name, asyncio.Lock())
-        # Bounded: many innocents of a large batch would else run one by one.
-        locked = await _acquire(lock, _ALONE_SECONDS)
+        # Bounded, since the innocent requests of a large batch would
+        # otherwise run one by one.
+        locked = await _acquire(lock, _MAX_ISOLATION_WAIT_SECONDS)
         try:
             yield
         finally:
             if locked:
                 lock.release()
 
-    async def after_broken(
-        self, prints: list[bytes], state: EndpointState
+    async def handle_broken_attempt(
+        self, fingerprints: list[bytes], state: EndpointState
     ) -> Refusal | None:
-        """Counts a crash if the endpoint is gone; refuses if it was enough.
+        """Counts a crash if the endpoint is down; refuses at the limit.
 
-        A stream that breaks at an endpoint which still answers is no crash,
-        and when several endpoints of a failure domain go at the same time it
-        was not a request.
-        Counting goes on when the caller has gone meanwhile.
+        A broken stream of an endpoint that still responds is no crash. When
+        several endpoints of a failure domain fail at the same time, the cause
+        is an outage, not a request. Counting continues if the caller
+        disconnects meanwhile.
         """
-        task = self.node.spawn(self._count_crash(prints, state))
+        task = self.node.spawn(self._count_crash(fingerprints, state))
         return await asyncio.shield(task)
 
-    async def before_retry(self, prints: list[bytes]) -> None:
-        """Lets suspects of a crash run again one after the other.
+    async def delay_retry(self, fingerprints: list[bytes]) -> None:
+        """Delays the retry of a suspect, so that suspects run one by one.
 
-        Instances that moved them on at the same moment would put two on the
-        same endpoint again. Its crash would tell nothing of either, and the
-        one to blame would cost a third endpoint.
+        Instances that retried them at the same moment could send two to the
+        same endpoint again. Its crash would not show which one caused it, and
+        the culprit would crash a third endpoint.
         """
-        places = map(self.signs.quarantine.retry_position, prints)
-        pause = max(places, default=0) * _APART_SECONDS
-        await asyncio.sleep(min(pause, _ALONE_SECONDS))
+        positions = map(
+            self.note_exchange.quarantine.retry_position, fingerprints
+        )
+        delay = max(positions, default=0) * _RETRY_SPACING_SECONDS
+        await asyncio.sleep(min(delay, _MAX_ISOLATION_WAIT_SECONDS))
 
     async def _count_crash(
-        self, prints: list[bytes], state: EndpointState
+        self, fingerprints: list[bytes], state: EndpointState
     ) -> Refusal | None:
-        if not await self._is_gone(state):
+        if not await self._is_down(state):
             return None
         name = state.endpoint.name
         at = int(time.time() * 1000)
-        await self.watch.probe_siblings(state, _LOOKED_AT)
-        await asyncio.sleep(_OTHERS_SECONDS)
-        if self._is_outage(state) and self._excuse(prints[0]):
+        await self.watch.probe_siblings(state, _SIBLINGS_PROBED)
+        await asyncio.sleep(_OUTAGE_WINDOW_SECONDS)
+        if self._is_outage(state) and self._excuse(fingerprints[0]):
             self.node.metrics.count("rattanmill_quarantine", event="outage")
             return None
-        self.signs.crashed(
-            [CrashNote(each, name, at, prints[0]) for each in prints]
+        self.note_exchange.record_crashes(
+            [
+                CrashNote(each, name, at, fingerprints[0])
+                for each in fingerprints
+            ]
         )
         _log.warning("Endpoint {} crashed with a request in flight.", name)
-        await asyncio.sleep(_REPORT_SECONDS)
-        refusal = self.refusal(prints, Ran.UNKNOWN)
+        await asyncio.sleep(_REPORT_WAIT_SECONDS)
+        refusal = self.refusal(fingerprints, Ran.UNKNOWN)
         if refusal:
             self.node.metrics.count("rattanmill_quarantine", event="condemned")
         return refusal
 
-    async def _is_gone(self, state: EndpointState) -> bool:
-        """Whether an endpoint that broke a connection is not there any more.
+    async def _is_down(self, state: EndpointState) -> bool:
+        """Whether an endpoint that broke a connection refuses new ones.
 
-        Asked again: a process that ends may close our connection before its
-        listening socket, where the first probe is still let in.
+        Probes more than once: a process that ends may close this connection
+        before its listening socket, which still accepts the first probe.
         """
-        for pause in _GONE_PAUSES_SECONDS:
-            await asyncio.sleep(pause)
+        for delay in _PROBE_DELAYS_SECONDS:
+            await asyncio.sleep(delay)
             if await self.watch.probe(state) is ProbeResult.REFUSED:
                 return True
         return False
 
     async def after_attempt(
-        self, prints: list[bytes], result: object, endpoint: str
+        self, fingerprints: list[bytes], result: object, endpoint: str
     ) -> Refusal | None:
-        """Learns from an attempt at a plain service."""
+        """Records the result of an attempt at a plain service."""
         state = self.node.table.states.get(endpoint)
         if not isinstance(result, Failed):
-            self.finished(prints)
+            self.record_completed(fingerprints)
         elif result.outcome is Outcome.BROKEN and state:
-            return await self.after_broken(prints, state)
+            return await self.handle_broken_attempt(fingerprints, state)
         return None
 
     def _is_outage(self, state: EndpointState) -> bool:
-        """Whether half of a domain was lost at the same time, at least three.
+        """Whether half of a domain, at least three endpoints, failed at once.
 
-        All that was in flight there would be suspected, told to everybody,
-        and run one by one, just when the other domains have least room.
+        Otherwise all requests in flight there would be suspected, published
+        to all instances and run one by one, just when the other domains have
+        the least capacity left.
         """
-        since = asyncio.get_running_loop().time() - 2 * _OTHERS_SECONDS
-        beside = [
+        since = asyncio.get_running_loop().time() - 2 * _OUTAGE_WINDOW_SECONDS
+        siblings = [
             other
             for other in self.node.table.states.values()
             if other.endpoint.domain == state.endpoint.domain
             and other.endpoint.kind == state.endpoint.kind
         ]
         lost = sum(
-            s.reach.closed and s.reach.changed_at > since for s in beside
+            s.reach.closed and s.reach.changed_at > since for s in siblings
         )
-        return lost >= _MANY and lost * 2 >= len(beside)
+        return lost >= _MIN_OUTAGE_ENDPOINTS and lost * 2 >= len(siblings)
 
     def _excuse(self, fingerprint: bytes) -> bool:
-        """Whether an outage explains this loss; a second one is counted.
+        """Whether an outage excuses this crash; a second one is counted.
 
         Copies of one request that crash several endpoints at the same moment
         look like an outage, too.
         """
         if fingerprint in self.excused:
             return False
-        if len(self.excused) >= _MOST_EXCUSED:
+        if len(self.excused) >= _MAX_EXCUSED:
             self.excused.clear()
         self.excused.add(fingerprint)
         return True
 
-    def finished(self, prints: list[bytes]) -> None:
-        """Clears a request that ran to its end."""
+    def record_completed(self, fingerprints: list[bytes]) -> None:
+        """Clears the suspicion of a request that completed."""
         at = int(time.time() * 1000)
-        self.signs.crashed(
+        self.note_exchange.record_crashes(
             [
                 CrashNote(each, "", at)
-                for each in prints
-                if self.signs.quarantine.is_suspected(each)
+                for each in fingerprints
+                if self.note_exchange.quarantine.is_suspected(each)
             ]
         )
 
@@ -202,28 +209,29 @@
         return False
 
 
-def chat_prints(chat: ChatBody, messages: list[bytes]) -> list[bytes]:
+def chat_fingerprints(chat: ChatBody, messages: list[bytes]) -> list[bytes]:
     """Returns the fingerprints of a chat call with its whole conversation.
 
-    One covers the whole conversation: it is the same when the caller sends it
-    again as another program. The other covers the messages since the last
-    answer, for a caller that starts anew and gets other answers on the way.
+    One covers the whole conversation: it stays the same when the caller
+    repeats the conversation as another program. The other covers the messages
+    since the last answer, for a caller that starts over and gets different
+    answers on the way.
     """
     new = messages[_after_answer(messages) :]
-    prints = [_print(chat, messages)]
-    if new != messages and sum(map(len, new)) >= _LEAST_TELLING_BYTES:
-        prints.append(_print(chat, new))
-    return prints
+    fingerprints = [_fingerprint(chat, messages)]
+    if new != messages and sum(map(len, new)) >= _MIN_DISTINCTIVE_BYTES:
+        fingerprints.append(_fingerprint(chat, new))
+    return fingerprints
 
 
-def service_prints(start: CallStart) -> list[bytes]:
+def service_fingerprints(start: CallStart) -> list[bytes]:
     """Returns the fingerprint of a call to a plain service.
 
-    The idempotency key is no part of it: a caller that is told that the
-    outcome is unknown may ask for the same thing under another key.
+    The idempotency key is not included: a caller that learns that the outcome
+    is unknown may repeat the request under another key.
     """
     head = msgspec.msgpack.encode([start.method, start.service, start.path])
-    digest = hashlib.blake2b(head, digest_size=_PRINT_BYTES)
+    digest = hashlib.blake2b(head, digest_size=_FINGERPRINT_BYTES)
     digest.update(start.body)
     return [digest.digest()]
 
@@ -235,6 +243,6 @@
     return 0
 
 
-def _print(chat: ChatBody, messages: list[bytes]) -> bytes:
+def _fingerprint(chat: ChatBody, messages: list[bytes]) -> bytes:
     asked = msgspec.structs.replace(chat, messages=messages)
-    return asked.digest[:_PRINT_BYTES]
+    return asked.digest[:_FINGERPRINT_BYTES]
--- a/libs/entry/src/rattanmill_entry/replies.py
+++ b/libs/entry/src/rattanmill_entry/replies.py
@@ -1,4 +1,4 @@
-"""Builds the replies of a call, whether it is served here or for a peer."""
+"""Builds the replies of a call, which is served for a caller or a peer."""
 
 from collections.abc import AsyncIterator
 
@@ -24,7 +24,7 @@
 def whole_reply(
     start: CallStart, status: int, headers: list[tuple[str, str]], body: bytes
 ) -> list[Reply]:
-    """Returns the replies of an answer that is complete."""
+    """Returns the replies for a complete response."""
     parts = [
         body[at : at + _CHUNK_BYTES] for at in range(0, len(body), _CHUNK_BYTES)
     ]
@@ -39,6 +39,6 @@
 
 
 def ownership_lost(start: CallStart, ran: str) -> ReplyRefused:
-    """Returns the reply of an instance that must not act for a program."""
-    detail = "This instance may not act for the program any more."
+    """Returns the refusal of an instance that must not act for a program."""
+    detail = "This instance may no longer act for the program."
     return refused(start, refuse(Reason.OWNERSHIP_LOST, detail, ran=ran))
--- a/libs/entry/src/rattanmill_entry/route.py
+++ b/libs/entry/src/rattanmill_entry/route.py
@@ -10,10 +10,10 @@
 import random
 
 from rattanmill_core import Ran, Reason, Refusal, parse_program_id, refuse
-from rattanmill_entry.members import staying
+from rattanmill_entry.members import remaining_instances
 from rattanmill_entry.node import Node
 from rattanmill_entry.replies import Replies, refused
-from rattanmill_entry.serve import not_served, serve, serve_loose
+from rattanmill_entry.serve import not_served_refusal, serve, serve_standalone
 from rattanmill_platform import InstanceRecord, ShardOwner
 from rattanmill_programs import LOOSE_TOKEN
 from rattanmill_wire import CallKind, CallStart, ReplyHead, ReplyRefused
@@ -38,7 +38,7 @@
         The replies to the caller.
     """
     if not start.program:
-        async for reply in serve_loose(node, start):
+        async for reply in serve_standalone(node, start):
             yield reply
         return
     loop = asyncio.get_running_loop()
@@ -89,7 +89,7 @@
             yield reply
     elif owner is None or owner.name == node.settings.name:
         detail = "The program has no owner at the moment."
-        yield refused(start, not_served(node, start, detail))
+        yield refused(start, not_served_refusal(node, start, detail))
     else:
         peer = node.hub.peer(owner.name, peer_address(node, owner))
 
@@ -135,7 +135,7 @@
 def _stable_shards(node: Node) -> list[int]:
     """Shards of this domain whose owners are others and not shutting down."""
     owners = node.live.shards.get(node.settings.domain)
-    others = staying(node)
+    others = remaining_instances(node)
     others.pop(node.settings.name, None)
     return [
         number
--- a/libs/entry/src/rattanmill_entry/serve.py
+++ b/libs/entry/src/rattanmill_entry/serve.py
@@ -35,8 +35,8 @@
 from rattanmill_programs import LOOSE_TOKEN, Program, Shard
 from rattanmill_wire import CallKind, CallStart, ReplyChunk, ReplyEnd, ReplyHead
 
-# Shards without a long call have their next owner long before.
-_PARTING_SECONDS = 1.0
+# Shards without a long call have their next owner well within this time.
+_HANDOVER_SECONDS = 1.0
 
 
 async def serve(node: Node, start: CallStart) -> Replies:
@@ -45,7 +45,7 @@
     shard = node.shards.get((owned.domain, owned.shard)) if owned else None
     if shard is None or shard.log.fenced:
         detail = "This instance does not own the program."
-        yield refused(start, not_served(node, start, detail))
+        yield refused(start, not_served_refusal(node, start, detail))
         return
     if not node.lease.holds():
         yield ownership_lost(start, Ran.NO)
@@ -55,22 +55,24 @@
             yield reply
 
 
-def not_served(node: Node, start: CallStart, detail: str) -> Refusal:
+def not_served_refusal(node: Node, start: CallStart, detail: str) -> Refusal:
     """Returns the refusal of a call whose shard is not served here.
 
-    A caller waits for a takeover; not for a shutdown that waits in turn for
-    a call of the shard to end, which may take as long as a shutdown does.
+    A caller may wait for a takeover, but not for a shutdown that itself waits
+    for a call of the shard to end. That can take as long as the shutdown.
 
     Args:
         node: The daemon's context.
         start: The call.
-        detail: What to say if the next owner is due at any moment.
+        detail: Detail of the refusal if a new owner is expected shortly.
     """
     owned = parse_program_id(start.program)
-    parting = node.parting.get((owned.domain, owned.shard)) if owned else None
-    if parting is None or not node.draining:
+    handover = (
+        node.handovers.get((owned.domain, owned.shard)) if owned else None
+    )
+    if handover is None or not node.draining:
         return refuse(Reason.NOT_OWNER, detail)
-    if loop_seconds() - parting.since < _PARTING_SECONDS:
+    if loop_seconds() - handover.since < _HANDOVER_SECONDS:
         return refuse(Reason.NOT_OWNER, detail)
     detail = "The owner shuts down and is not yet done with the shard."
     return refuse(Reason.SHUTTING_DOWN, detail)
@@ -103,11 +105,11 @@
         case CallKind.SERVICE:
             replies = run_act(node, shard, program, start)
         case CallKind.SHOW:
-            replies = _each(lifecycle.show(node, program, start))
+            replies = _iterate(lifecycle.show(node, program, start))
         case CallKind.HISTORY:
-            replies = _each(lifecycle.history(program, start))
+            replies = _iterate(lifecycle.history(program, start))
         case CallKind.END | _:
-            replies = _each(await lifecycle.end(node, shard, program, start))
+            replies = _iterate(await lifecycle.end(node, shard, program, start))
     async for reply in replies:
         yield reply
 
@@ -118,13 +120,13 @@
     return start.workspace != program.made.workspace
 
 
-async def _each(replies: list) -> Replies:
+async def _iterate(replies: list) -> Replies:
     for reply in replies:
         yield reply
 
 
-async def serve_loose(node: Node, start: CallStart) -> Replies:
-    """Serves a call that needs no owner, on any instance."""
+async def serve_standalone(node: Node, start: CallStart) -> Replies:
+    """Serves a call without a program, which any instance can do."""
     if start.kind is CallKind.SERVICE:
         async for reply in run_service(node, start):
             yield reply
--- a/libs/entry/src/rattanmill_entry/services.py
+++ b/libs/entry/src/rattanmill_entry/services.py
@@ -1,10 +1,10 @@
-"""Idempotent calls to plain services, and what all calls to them share."""
+"""Idempotent calls to plain services, and helpers for all such calls."""
 
 import asyncio
 
 from rattanmill_core import Ran, Reason, Refusal, refuse
 from rattanmill_entry.node import Node
-from rattanmill_entry.quarantine import service_prints
+from rattanmill_entry.quarantine import service_fingerprints
 from rattanmill_entry.replies import Replies, Reply, refused, whole_reply
 from rattanmill_entry.upstream import Failed, ServiceResponse, call_service
 from rattanmill_policy import Outcome, Work
@@ -14,26 +14,26 @@
 
 
 async def run_service(node: Node, start: CallStart) -> Replies:
-    """Runs an idempotent call, on another endpoint if one cannot be reached."""
+    """Runs an idempotent call; retries on another endpoint if it failed."""
     loop = asyncio.get_running_loop()
-    until = loop.time() + start.seconds_left
+    deadline = loop.time() + start.seconds_left
     work = service_work(start)
     ran = Ran.NO
-    prints = service_prints(start)
+    fingerprints = service_fingerprints(start)
     while True:
-        if quarantined := node.guard.refusal(prints, ran):
+        if quarantined := node.guard.refusal(fingerprints, ran):
             yield refused(start, quarantined)
             return
-        work.seconds_left = max(0.0, until - loop.time())
+        work.seconds_left = max(0.0, deadline - loop.time())
         result = await _attempt(node, start, work)
         if isinstance(result, Refusal):
             yield refused(start, result.after(ran))
             return
         quarantined = await node.guard.after_attempt(
-            prints, result, work.tried[-1]
+            fingerprints, result, work.tried[-1]
         )
         if isinstance(result, ServiceResponse):
-            for reply in answered(start, result):
+            for reply in service_replies(start, result):
                 yield reply
             return
         if result.outcome not in NEVER_SENT:
@@ -42,10 +42,10 @@
             yield refused(start, quarantined)
             return
         if not node.scheduler.may_retry(work, result.outcome):
-            yield refused(start, gave_up(result, ran))
+            yield refused(start, service_failed_refusal(result, ran))
             return
         node.metrics.retried(result.outcome)
-        await node.guard.before_retry(prints)
+        await node.guard.delay_retry(fingerprints)
 
 
 async def _attempt(
@@ -70,7 +70,7 @@
 
 
 def service_work(start: CallStart) -> Work:
-    """Returns what the scheduler needs to know of a call."""
+    """Returns the scheduler's description of a call."""
     return Work(
         program=start.program or start.call,
         workspace=start.workspace,
@@ -79,12 +79,12 @@
     )
 
 
-def answered(start: CallStart, answer: ServiceResponse) -> list[Reply]:
-    """Returns the replies that pass a service's answer on."""
-    return whole_reply(start, answer.status, answer.headers, answer.body)
+def service_replies(start: CallStart, response: ServiceResponse) -> list[Reply]:
+    """Returns the replies that forward a service's response."""
+    return whole_reply(start, response.status, response.headers, response.body)
 
 
-def gave_up(failed: Failed, ran: Ran) -> Refusal:
+def service_failed_refusal(failed: Failed, ran: Ran) -> Refusal:
     """Returns the refusal after the last attempt.
 
     Args:
--- a/libs/entry/src/rattanmill_entry/signs.py
+++ b/libs/entry/src/rattanmill_entry/signs.py
@@ -1,9 +1,10 @@
-"""Tells other instances what was seen of endpoints and crashing requests.
+"""Shares the state of endpoints and crashing requests between instances.
 
-A change goes to all instances of the failure domain at once, and to one of
-each other domain, which passes it on inside its own. Since a message can be
-lost and an instance can be new, each also tells one other, chosen at random,
-every few seconds what it holds.
+A change is sent at once to all instances of the own failure domain and to one
+instance of each other domain, which forwards it inside its own. Since a
+message can be lost and an instance can be new, each instance also sends its
+current notes every few seconds to one random instance of its own domain and
+one of another.
 """
 
 import asyncio
@@ -18,13 +19,13 @@
 from rattanmill_policy import Quarantine
 from rattanmill_wire import EndpointNotes
 
-_ROUND_SECONDS = 2.0
+_GOSSIP_INTERVAL_SECONDS = 2.0
 _RECENT_SECONDS = 60.0
-_MOST_NOTES = 200
+_MAX_NOTES = 200
 
 
-class Signs:
-    """Tells and hears notes.
+class NoteExchange:
+    """Sends and receives notes about endpoints and crashes.
 
     Args:
         node: The daemon's context.
@@ -34,7 +35,7 @@
         self.node = node
         self.quarantine = Quarantine()
         self.task: asyncio.Task | None = None
-        node.table.on_note = lambda note: self._tell([note], [])
+        node.table.on_note = lambda note: self._publish([note], [])
 
     async def __aenter__(self) -> Self:
         self.task = start_loop("notes", self._run())
@@ -44,23 +45,23 @@
         if self.task:
             self.task.cancel()
 
-    def crashed(self, notes: list[CrashNote]) -> None:
-        """Takes crashes or finished runs that were seen here."""
-        news = [note for note in notes if self.quarantine.record(note)]
-        for note in news:
+    def record_crashes(self, notes: list[CrashNote]) -> None:
+        """Records and publishes crashes or finished runs seen here."""
+        new_notes = [note for note in notes if self.quarantine.record(note)]
+        for note in new_notes:
             event = "suspected" if note.endpoint else "cleared"
             self.node.metrics.count("rattanmill_quarantine", event=event)
-        if news:
-            self._tell([], news)
+        if new_notes:
+            self._publish([], new_notes)
 
-    def hear(self, message: EndpointNotes) -> None:
-        """Takes what another instance tells, and passes on what is new."""
+    def receive(self, message: EndpointNotes) -> None:
+        """Merges notes of another instance and forwards the new ones."""
         node = self.node
-        inside = message.domain == node.settings.domain
+        same_domain = message.domain == node.settings.domain
         endpoints = [
             note
             for note in message.endpoints
-            if (inside or note.aspect is Aspect.DEPARTURE)
+            if (same_domain or note.aspect is Aspect.DEPARTURE)
             and node.table.merge(note)
         ]
         self._count(endpoints, "peer")
@@ -69,20 +70,20 @@
             node.metrics.count(
                 "rattanmill_quarantine", len(crashes), event="heard"
             )
-        if not inside and (endpoints or crashes):
-            passed = EndpointNotes(node.settings.domain, endpoints, crashes)
-            self._send(passed, self._inside())
+        if not same_domain and (endpoints or crashes):
+            forwarded = EndpointNotes(node.settings.domain, endpoints, crashes)
+            self._send(forwarded, self._same_domain_peers())
 
-    def _tell(
+    def _publish(
         self, endpoints: list[EndpointNote], crashes: list[CrashNote]
     ) -> None:
         self._count(endpoints, "self")
         message = EndpointNotes(self.node.settings.domain, endpoints, crashes)
-        self._send(message, self._inside())
+        self._send(message, self._same_domain_peers())
         departures = [n for n in endpoints if n.aspect is Aspect.DEPARTURE]
         if departures or crashes:
-            outside = msgspec.structs.replace(message, endpoints=departures)
-            self._send(outside, self._outside())
+            remote = msgspec.structs.replace(message, endpoints=departures)
+            self._send(remote, self._other_domain_peers())
 
     def _count(self, notes: list[EndpointNote], seen_by: str) -> None:
         for note in notes:
@@ -92,44 +93,44 @@
 
     async def _run(self) -> None:
         while True:
-            await asyncio.sleep(random.uniform(0.8, 1.2) * _ROUND_SECONDS)
-            message = self._all()
+            await asyncio.sleep(
+                random.uniform(0.8, 1.2) * _GOSSIP_INTERVAL_SECONDS
+            )
+            message = self._current_notes()
             if message.endpoints or message.crashes:
                 self.node.metrics.count("rattanmill_note_rounds")
-                others = self._inside()
+                others = self._same_domain_peers()
                 self._send(message, random.sample(others, min(1, len(others))))
-                distant = self._outside()
-                self._send(
-                    message, random.sample(distant, min(1, len(distant)))
-                )
+                remote = self._other_domain_peers()
+                self._send(message, random.sample(remote, min(1, len(remote))))
 
-    def _all(self) -> EndpointNotes:
-        """What is not as usual, or was not a short while ago."""
+    def _current_notes(self) -> EndpointNotes:
+        """Returns notes on closed or recently changed aspects, and crashes."""
         since = asyncio.get_running_loop().time() - _RECENT_SECONDS
         notes = [
-            mark.to_note(name)
+            aspect.to_note(name)
             for name, state in self.node.table.states.items()
-            for mark in state.aspects
-            if mark.closed or mark.changed_at > since
+            for aspect in state.aspects
+            if aspect.closed or aspect.changed_at > since
         ]
         return EndpointNotes(
             self.node.settings.domain,
-            notes[-_MOST_NOTES:],
-            self.quarantine.notes(_MOST_NOTES),
+            notes[-_MAX_NOTES:],
+            self.quarantine.notes(_MAX_NOTES),
         )
 
-    def _others(self) -> list[InstanceRecord]:
+    def _peers(self) -> list[InstanceRecord]:
         name = self.node.settings.name
         return [r for r in self.node.addresses.values() if r.name != name]
 
-    def _inside(self) -> list[InstanceRecord]:
+    def _same_domain_peers(self) -> list[InstanceRecord]:
         domain = self.node.settings.domain
-        return [r for r in self._others() if r.domain == domain]
+        return [r for r in self._peers() if r.domain == domain]
 
-    def _outside(self) -> list[InstanceRecord]:
-        """One instance of each other failure domain, best a live one."""
+    def _other_domain_peers(self) -> list[InstanceRecord]:
+        """Returns one instance per other failure domain, live if possible."""
         node = self.node
-        known = [r for r in self._others() if r.domain != node.settings.domain]
+        known = [r for r in self._peers() if r.domain != node.settings.domain]
         random.shuffle(known)
         known.sort(key=lambda record: record.name in node.live.instances)
         return list({record.domain: record for record in known}.values())
--- a/libs/entry/src/rattanmill_entry/turns.py
+++ b/libs/entry/src/rattanmill_entry/turns.py
@@ -20,7 +20,7 @@
 )
 from rattanmill_entry.chatbody import (
     ChatBody,
-    common_messages,
+    common_prefix_length,
     parse_chat,
     prefix_digests,
 )
@@ -205,7 +205,7 @@
         base = len(program.transcript)
         messages = program.transcript + chat.messages
     else:
-        base = common_messages(program.transcript, chat.messages)
+        base = common_prefix_length(program.transcript, chat.messages)
         messages = chat.messages
     return Plan(number, chat, messages, base, chat.max_tokens)
 
--- a/tests/features/steps/answers.py
+++ b/tests/features/steps/answers.py
@@ -370,7 +370,7 @@
         outbox = Outbox(CallStart("c", "chat"))
         for fields in parts:
             outbox.part("m", fields)
-        waiting = [part.fields for part in outbox.waiting]
+        waiting = [part.fields for part in outbox.queue]
         assert len(waiting) <= 64, len(waiting)
         assert join_parts(waiting) == join_parts(parts)
 
--- a/tests/features/steps/config.py
+++ b/tests/features/steps/config.py
@@ -5,8 +5,8 @@
 
 from behave import given, then, when
 
-from rattanmill_entry.members import forget_gone
-from rattanmill_entry.node import Heard
+from rattanmill_entry.members import remove_gone_instances
+from rattanmill_entry.node import LastHeartbeat
 from rattanmill_platform import DomainShards, ShardOwner
 from support import Client, wait_until
 
@@ -219,33 +219,33 @@
         ),
         addresses=dict.fromkeys((one, two, owner)),
         gone_since={},
-        heard={},
+        last_heartbeats={},
         settings=types.SimpleNamespace(lease_seconds=1.5),
         hub=types.SimpleNamespace(forget=lambda name: None),
     )
-    forget_gone(context.node, 0.0)
+    remove_gone_instances(context.node, 0.0)
 
 
 @given('"{name}" is heard at {seconds:d} s')
 def step_heard(context, name, seconds):
-    context.node.heard[name] = Heard(1, float(seconds))
+    context.node.last_heartbeats[name] = LastHeartbeat(1, float(seconds))
 
 
 @then("at {seconds:d} s all three are known")
 def step_all_known(context, seconds):
-    forget_gone(context.node, float(seconds))
+    remove_gone_instances(context.node, float(seconds))
     assert len(context.node.addresses) == 3, context.node.addresses
 
 
 @then('at {seconds:d} s "{one}" and "{other}" are known')
 def step_two_known(context, seconds, one, other):
-    forget_gone(context.node, float(seconds))
+    remove_gone_instances(context.node, float(seconds))
     assert set(context.node.addresses) == {one, other}
 
 
 @then('at {seconds:d} s "{one}" is known')
 def step_one_known(context, seconds, one):
-    forget_gone(context.node, float(seconds))
+    remove_gone_instances(context.node, float(seconds))
     assert set(context.node.addresses) == {one}
 
 
@@ -254,5 +254,5 @@
     node = context.node
     node.live.synced = False
     node.live.shards = {}
-    forget_gone(node, 1000.0)
+    remove_gone_instances(node, 1000.0)
     assert len(node.addresses) == 1, node.addresses
--- a/tests/features/steps/ownership.py
+++ b/tests/features/steps/ownership.py
@@ -398,7 +398,7 @@
             forget=lambda name: peers.pop(name),
         ),
         live=types.SimpleNamespace(synced=True, instances={}, shards={}),
-        run_beside=lambda work: tasks.append(asyncio.ensure_future(work)),
+        spawn_detached=lambda work: tasks.append(asyncio.ensure_future(work)),
         tasks=tasks,
     )
 
@@ -416,7 +416,7 @@
         gossip = Gossip(context.node, None)
         partners = list(context.node.addresses.values())
         gossip._partners = lambda: partners
-        beat = asyncio.ensure_future(gossip.beat())
+        beat = asyncio.ensure_future(gossip.send_round())
         for _ in range(20):
             await asyncio.sleep(0)
         beat.cancel()
@@ -449,7 +449,7 @@
         async with Ownership(node) as ownership:
             ownership.wake.set()
             await asyncio.wait_for(node.stop.wait(), 5)
-        return node.broken
+        return node.invariant_error
 
     context.failure = asyncio.run(run())
 
