--- a/tests/features/input.feature
+++ b/tests/features/input.feature
@@ -1,15 +1,15 @@
-Feature: Bad input at the callers' interface
-  Whatever a caller sends, it gets a clear error, others are not held up, and
-  memory stays bounded.
+Feature: Invalid input at the callers' interface
+  Whatever a caller sends, it gets a clear error. Other callers are not delayed,
+  nor does memory grow without bound.
 
   Background:
-    Given a system that is badly used
+    Given a system with small limits for input
 
-  Scenario Outline: Requests that make no sense
-    Broken clients and people with bad intentions send what no client should.
-    They get a problem with a reason, which is counted; nothing is run.
+  Scenario Outline: Invalid requests
+    Faulty or malicious clients send invalid requests. They get a problem with a
+    reason, which is counted, and no endpoint is called.
 
-    When somebody sends <what>
+    When a client sends <what>
     Then the problem is <status> "<reason>"
     And the problem was counted as "<reason>"
     And no endpoint was called
@@ -37,33 +37,33 @@
       | a program of an unknown class    | 422    | unknown_class   |
 
   Scenario: A header with a line break
-    Somebody tries to add a header of their own to what goes to an endpoint.
-    The HTTP library refuses such a request before we see it.
+    A client tries to inject a header into a request to an endpoint. The HTTP
+    library refuses it before it reaches the daemon's code.
 
-    When somebody sends a key with a line break
+    When a client sends a key with a line break
     Then it is refused with status 400
     And no endpoint was called
 
-  Scenario: A body that never comes
-    A caller promises a body and sends it a byte at a time, or not at all. It
-    is told so after a while, and the connection is free again.
+  Scenario: A body that never arrives
+    A caller announces a body and sends it byte by byte, or not at all. It is
+    refused after a timeout, and the connection is released.
 
-    When somebody sends a body too slowly
+    When a client sends a body too slowly
     Then the problem is 408 "body_too_slow"
     And the problem was counted as "body_too_slow"
 
   Scenario: Connections that send nothing
-    Hundreds of connections are opened and left alone. They are closed, and a
-    caller with a call is served all the while.
+    Hundreds of connections are opened and stay idle. They are closed, and a
+    caller is served meanwhile.
 
     When 200 connections are opened that send nothing
-    Then a caller is served all the while
+    Then a caller is served meanwhile
     And the idle connections are closed and counted
 
   Scenario: A call that misses its deadline
-    A caller can wait for so long and no longer. It is told at its
-    deadline; the turn is there later, when it asks again.
+    A caller waits for a limited time. It is refused at its deadline, and a
+    later repeat returns the turn.
 
     When a turn is sent that takes longer than its deadline
     Then the problem is 504 "deadline"
-    And the same turn is there later
+    And a later repeat returns the turn
--- a/tests/features/metrics.feature
+++ b/tests/features/metrics.feature
@@ -1,12 +1,12 @@
 Feature: Metrics
-  Every refusal and every retry is counted by its reason, and the page names
-  all there is.
+  Every refusal and every retry is counted by its reason, and the page lists all
+  metrics.
 
   Background:
     Given a system that all scenarios of the feature share
 
-  Scenario Outline: A refusal is counted where the caller is
-    When a caller does what is refused as "<reason>"
+  Scenario Outline: A refusal is counted at the instance that was called
+    When a caller sends a call that is refused as "<reason>"
     Then the refusal "<reason>" is counted once, at that instance
 
     Examples:
@@ -29,17 +29,17 @@
       | config_invalid   |
       | unknown_config   |
 
-  Scenario: A retry is counted by how the attempt before it ended
-    When services break connections until a call was tried again
+  Scenario: A retry is counted by the outcome of the previous attempt
+    When services break connections until a call was retried
     Then the retry "broken" is counted
 
-  Scenario: Each reason has a counter of its own
+  Scenario: Each reason has its own counter
     When each reason for a refusal and each for a retry happens once
-    Then each shows up with a count of 1
+    Then each is exported with a count of 1
 
   Scenario: Durations, gauges and traffic
     When a program has a streamed turn through another domain
-    Then these have values above 0 at one instance or another
+    Then these have values above 0 at any instance
       | name                                 |
       | rattanmill_request_seconds_count     |
       | rattanmill_first_token_seconds_count |
@@ -51,7 +51,7 @@
       | rattanmill_peer_in_bytes_total       |
       | rattanmill_peer_out_bytes_total      |
 
-  Scenario: The page lists what the code has
+  Scenario: The page lists the metrics of the code
     When docs/METRICS.md is compared with the code
     Then both have the same names and labels
     And the page has every value of the labels
--- a/tests/features/outage.feature
+++ b/tests/features/outage.feature
@@ -1,9 +1,9 @@
-Feature: What is served when something is away
+Feature: Calls that are served during an outage
   Each row is a cell of the table in docs/design/state.md.
 
   Scenario Outline: <call> with the service <state>
-    Callers go on through an outage of the key-value service, and must be told
-    at once what cannot be done without it and when to come back.
+    Callers are served during an outage of the key-value service. Calls that
+    need it must be refused at once, with a Retry-After.
 
     Given a system of three failure domains
     And a program whose first turn is stored
@@ -37,10 +37,10 @@
       | slow     | an act            | 200 and no receipt |
       | slow     | a new program     | 201 and no receipt |
 
-  Scenario: The owner's lease has lapsed and it is alone
-    The service is away, and the owner's only peer has died: the owner cannot
-    tell whether it is cut off from everybody. It refuses, says that nothing
-    ran, and goes on when the service is back.
+  Scenario: The owner's lease has expired and its peer is unresponsive
+    The service is unavailable, and the owner's only peer has died, so the owner
+    cannot determine whether it is partitioned from all others. It refuses calls
+    as not run, and serves them again when the service responds.
 
     Given a system of three failure domains
     And a program whose first turn is stored
@@ -50,15 +50,16 @@
     When the key-value service responds again
     Then meanwhile a next turn gets 200 and no receipt
 
-  Scenario: The owner's peer has not registered again when the next outage comes
-    An outage outlasts all leases. The owner has registered again, its peer
-    has not, when the service goes away once more and the peer falls silent.
-    The owner has heard it, so it cannot tell whether it is cut off by itself:
-    if it went on, callers would get two answers to one turn from two owners.
+  Scenario: The owner's peer has not registered again before the next outage
+    An outage outlasts all leases. The owner has registered again, its peer has
+    not, when the service fails again and the peer becomes unresponsive. The
+    owner has received its heartbeats, so it cannot determine whether it is
+    itself partitioned: if it continued, callers would get two answers to one
+    turn from two owners.
 
     Given a system of three failure domains
     And a program whose first turn is stored
-    When the owner's peer loses its record and lives on
+    When the owner's peer loses its record and keeps running
     And the service is away
     And the owner's peer dies and 1 lease time passes
     Then meanwhile a next turn gets ownership_lost
--- a/tests/features/steps/config.py
+++ b/tests/features/steps/config.py
@@ -1,4 +1,4 @@
-"""Steps that change the configuration over HTTP, past the command."""
+"""Steps that change the configuration over HTTP, without the command."""
 
 import time
 import types
@@ -44,7 +44,7 @@
     assert store(context).request("PUT", path, value).status == 200
 
 
-@given("the store loses the answer to the next write of the configuration")
+@given("the store loses the response to the next write of the configuration")
 def step_lose(context):
     store(context).faults(lose_answers=1, lose_match=f"/kv/{_KEY}")
 
@@ -70,18 +70,18 @@
     assert context.answer.status == 200, context.answer
 
 
-@when('change "{change}" is sent again')
-def step_again(context, change):
+@when('change "{change}" is repeated')
+def step_repeat(context, change):
     assert context.first_sent["change"] == change
     assert context.first.status == 200, context.first
     put(context, context.first_sent, index=3)
 
 
-@when('change "{change}" is sent again with another target')
-def step_again_other(context, change):
+@when('change "{change}" is repeated with another target')
+def step_repeat_other(context, change):
     document = context.first_sent
     document["classes"]["default"]["target_seconds"] = 999
-    step_again(context, change)
+    step_repeat(context, change)
 
 
 @then("the change is accepted with the next number")
@@ -117,19 +117,19 @@
 def step_not_in_force(context, seconds):
     for client in context.clients:
         document = client.request("GET", "/v1/admin/config").json
-        found = document["classes"]["default"]["target_seconds"]
-        assert found != seconds, document
+        target_seconds = document["classes"]["default"]["target_seconds"]
+        assert target_seconds != seconds, document
 
 
-@when("the stored configuration is broken by hand")
-def step_break(context):
-    context.whole, _ = stored(context)
+@when("the stored configuration is corrupted by hand")
+def step_corrupt(context):
+    context.valid_value, _ = stored(context)
     write_by_hand(context, b"{")
 
 
-@when("the stored configuration is mended by hand")
-def step_mend(context):
-    write_by_hand(context, context.whole)
+@when("the stored configuration is repaired by hand")
+def step_repair(context):
+    write_by_hand(context, context.valid_value)
 
 
 @when("the stored configuration is deleted by hand")
@@ -145,13 +145,13 @@
     context.system.cut(domain, kv=True, domains=True)
 
 
-@when("all links are back")
+@when("all links are restored")
 def step_links_back(context):
     context.system.heal()
 
 
-@when('a change takes out failure domain "{domain}"')
-def step_take_out(context, domain):
+@when('a change removes failure domain "{domain}"')
+def step_remove_domain(context, domain):
     document = base(context)
     document["change"] = ""
     del document["domains"][domain]
@@ -168,7 +168,7 @@
 
 @when("{count:d} changes are accepted one after another")
 def step_many_changes(context, count):
-    context.began = time.time()
+    context.started_at = time.time()
     for number in range(count):
         document = base(context)
         document["change"] = f"many-{number}"
@@ -178,7 +178,7 @@
     context.last = context.answer.json["number"]
 
 
-def _answered(client, path):
+def _successful_answer(client, path):
     answer = client.request("GET", path)
     return answer if answer.status == 200 else None
 
@@ -186,9 +186,10 @@
 @then("the history has the last {count:d} of them, with operator and time")
 def step_history_kept(context, count):
     path = "/v1/admin/config/history"
-    # An instance that was cut off tries the store again after a moment.
+    # An instance that was partitioned retries the store after a delay.
     answer = wait_until(
-        lambda: _answered(context.clients[4], path), "the history is read"
+        lambda: _successful_answer(context.clients[4], path),
+        "the history is read",
     )
     entries = answer.json
     numbers = [entry["number"] for entry in entries]
@@ -197,16 +198,18 @@
     )
     for index, entry in enumerate(entries):
         assert entry["operator"] == f"operator-{74 - index}", entry
-        assert context.began - 1 < entry["applied"] < time.time() + 1, entry
+        assert context.started_at - 1 < entry["applied"] < time.time() + 1, (
+            entry
+        )
 
 
-@then("the store keeps fewer than {most:d} earlier documents")
-def step_store_bounded(context, most):
+@then("the store keeps fewer than {maximum:d} earlier documents")
+def step_store_bounded(context, maximum):
     path = "/range?prefix=rm/config-history/"
     client = Client(store(context).address)
     wait_until(
-        lambda: len(client.request("GET", path).json["entries"]) < most,
-        f"fewer than {most} documents are kept",
+        lambda: len(client.request("GET", path).json["entries"]) < maximum,
+        f"fewer than {maximum} documents are kept",
     )
 
 
@@ -226,8 +229,8 @@
     remove_gone_instances(context.node, 0.0)
 
 
-@given('"{name}" is heard at {seconds:d} s')
-def step_heard(context, name, seconds):
+@given('a heartbeat of "{name}" arrives at {seconds:d} s')
+def step_heartbeat(context, name, seconds):
     context.node.last_heartbeats[name] = LastHeartbeat(1, float(seconds))
 
 
@@ -249,8 +252,8 @@
     assert set(context.node.addresses) == {one}
 
 
-@then("while the store is silent, nobody is forgotten")
-def step_none_forgotten(context):
+@then("while the store is unavailable, no instance is removed")
+def step_none_removed(context):
     node = context.node
     node.live.synced = False
     node.live.shards = {}
--- a/tests/features/steps/config_spread.py
+++ b/tests/features/steps/config_spread.py
@@ -12,13 +12,13 @@
 
 
 def config(client):
-    """Returns the configuration in force, or number -1 if it is silent."""
+    """Returns the configuration in force, or number -1 if it does not reply."""
     answer = client.request("GET", "/v1/admin/config")
     return answer.json if answer.status == 200 else {"number": -1}
 
 
 def changed(document):
-    """Returns a document that differs from all before."""
+    """Returns a document that differs from all earlier ones."""
     klass = document["classes"]["default"]
     return {
         **document,
@@ -56,7 +56,7 @@
     context.results = [call.result() for call in calls]
 
 
-@then("one is accepted and one is told of the conflict")
+@then("one is accepted and one gets a conflict")
 def step_one_accepted(context):
     statuses = sorted(answer.status for answer in context.results)
     assert statuses == [200, 409], context.results
@@ -67,14 +67,15 @@
 def step_change(context, index):
     client = context.clients[index]
     if before := getattr(context, "accepted", None):
-        # From an older one the change would rightly be a conflict.
+        # A change that is made from an older one is a conflict, as intended.
         wait_until(lambda: config(client) == before, "it has the one before")
 
     def change():
         answer = change_through(context, client, config(client))
-        # For a moment after a cut it may know the service as away.
-        away = answer.status == 503 and answer.json["ran"] == "no"
-        return None if away else answer
+        # Shortly after a partition it may still consider the service
+        # unavailable.
+        unavailable = answer.status == 503 and answer.json["ran"] == "no"
+        return None if unavailable else answer
 
     context.result = wait_until(change, "the service answers")
     assert context.result.status == 200, context.result
@@ -87,7 +88,7 @@
 
 
 @then("every instance has the accepted change in force")
-def step_everywhere(context):
+def step_in_force(context):
     wait_until(
         lambda: all(
             config(client) == context.accepted for client in context.clients
@@ -99,7 +100,7 @@
 
 @when("every instance has it in force before the service is set back by one")
 def step_set_back(context):
-    step_everywhere(context)
+    step_in_force(context)
     step_watch(context)
     kv = context.system.standins["kv"]
     path = "/kv/rm/live/config"
@@ -111,7 +112,7 @@
     }
     answer = kv.request("PUT", f"{path}?expect={revision}", context.old)
     assert answer.status == 200, answer
-    # Every instance that watches has seen it when it answers from its view.
+    # By then every watching instance has it in its view.
     time.sleep(0.5)
 
 
@@ -120,7 +121,7 @@
     assert context.accepted["number"] == context.old["number"] + 2
 
 
-@when("failure domains {one:d} and {other:d} are cut off from the service")
+@when("failure domains {one:d} and {other:d} are partitioned from the service")
 def step_cut_two(context, one, other):
     kv_faults(context, cut_sources=[f"127.0.{one + 1}.", f"127.0.{other + 1}."])
 
@@ -146,8 +147,8 @@
     context.scenario_stack.callback(end)
 
 
-@then("no instance ever went back to a lower number")
-def step_never_back(context):
+@then("no instance ever reverted to a lower number")
+def step_never_reverted(context):
     number = context.accepted["number"]
     wait_until(
         lambda: all(seen[-1] == number for seen in context.numbers),
@@ -158,15 +159,15 @@
         assert len(set(seen)) > 1, seen
 
 
-@when("instance {index:d} is frozen")
-def step_freeze(context, index):
+@when("instance {index:d} is paused")
+def step_pause(context, index):
     process = context.system.instances[index].process
     process.pause()
     context.scenario_stack.callback(process.resume)
 
 
-@when("instance {index:d} goes on")
-def step_thaw(context, index):
+@when("instance {index:d} resumes")
+def step_resume(context, index):
     context.system.instances[index].process.resume()
 
 
--- a/tests/features/steps/input.py
+++ b/tests/features/steps/input.py
@@ -1,4 +1,4 @@
-"""Steps of bad input."""
+"""Steps for invalid input."""
 
 import contextlib
 import json
@@ -16,34 +16,35 @@
     extra="[limits]\nbody_bytes = 65536\nconnections = 64\n"
     "receive_seconds = 1.5\n",
 )
-_DEEP = b"[" * 30_000 + b"]" * 30_000
+_DEEP_JSON = b"[" * 30_000 + b"]" * 30_000
 
 
-@given("a system that is badly used")
+@given("a system with small limits for input")
 def step_system(context):
     start(context, _LAYOUT)
     context.client = context.clients[0]
-    context.calls = calls(context)
-    context.counted = refusals(context)
+    context.calls = count_calls(context)
+    context.refusals_before = count_refusals(context)
 
 
-def calls(context):
+def count_calls(context):
     return sum(
         context.system.standins[name].stats().get("calls", 0)
         for name in ("engine-1", "office-1")
     )
 
 
-def refusals(context):
+def count_refusals(context):
     name = "rattanmill_refusals_total"
     return sum(client.metric(name) for client in context.clients)
 
 
 def raw(context, data):
-    """Sends bytes as they are and returns the answer."""
+    """Sends raw bytes and returns the response."""
     host, port = context.client.address.split(":")
     with socket.create_connection((host, int(port)), 30) as connection:
-        # The answer may come, and the connection end, before all is sent.
+        # The response may arrive, and the connection close, before all is
+        # sent.
         with contextlib.suppress(OSError):
             connection.sendall(data)
         answer = b""
@@ -81,12 +82,14 @@
 
 
 def deep_message(context):
-    body = b'{"model": "commentary", "messages": [{"content": %s}]}' % _DEEP
+    body = (
+        b'{"model": "commentary", "messages": [{"content": %s}]}' % _DEEP_JSON
+    )
     return post(context, "/v1/chat/completions", body)
 
 
 def deep_chat(context):
-    body = b'{"model": "commentary", "messages": [{}], "x": %s}' % _DEEP
+    body = b'{"model": "commentary", "messages": [{}], "x": %s}' % _DEEP_JSON
     return post(context, "/v1/chat/completions", body)
 
 
@@ -114,15 +117,15 @@
     return context.client.request("DELETE", path, None, headers)
 
 
-_HOLDER = "alba-east.0.any"
-_SENT = {
+_STANDALONE_PROGRAM = "alba-east.0.any"
+_REQUESTS = {
     "a body beyond the limit": lambda c: post(
         c, "/v1/chat/completions", b"x" * 70_000
     ),
     "an endless body in chunks": chunked,
     "broken JSON for a program": lambda c: post(c, "/v1/programs", b"{"),
     "deep JSON for a program": lambda c: post(
-        c, "/v1/programs", b'{"parent": "", "budget": %s}' % _DEEP
+        c, "/v1/programs", b'{"parent": "", "budget": %s}' % _DEEP_JSON
     ),
     "deep JSON for a chat": deep_chat,
     "deep JSON in a message": deep_message,
@@ -142,12 +145,14 @@
     "a method that does not exist": lambda c: c.client.request(
         "PATCH", "/v1/programs"
     ),
-    "the holder of acts as a program": lambda c: c.client.chat("x", _HOLDER),
+    "the holder of acts as a program": lambda c: c.client.chat(
+        "x", _STANDALONE_PROGRAM
+    ),
     "an end of the holder of acts": lambda c: c.client.request(
-        "DELETE", f"/v1/programs/{_HOLDER}"
+        "DELETE", f"/v1/programs/{_STANDALONE_PROGRAM}"
     ),
     "the holder of acts as a parent": lambda c: post(
-        c, "/v1/programs", {"parent": _HOLDER}
+        c, "/v1/programs", {"parent": _STANDALONE_PROGRAM}
     ),
     "a parent of another workspace": foreign_parent,
     "an end of another's program": foreign_end,
@@ -157,13 +162,13 @@
 }
 
 
-@when("somebody sends {what}")
+@when("a client sends {what}")
 def step_sent(context, what):
     if what == "a body too slowly":
         head = b"POST /v1/programs HTTP/1.1\r\nHost: x\r\n"
         context.answer = raw(context, head + b"Content-Length: 9\r\n\r\n{")
     else:
-        context.answer = _SENT[what](context)
+        context.answer = _REQUESTS[what](context)
 
 
 @then('the problem is {status:d} "{reason}"')
@@ -184,12 +189,12 @@
     name = "rattanmill_refusals_total"
     counted = sum(c.metric(name, reason=reason) for c in context.clients)
     assert counted > 0
-    assert refusals(context) > context.counted
+    assert count_refusals(context) > context.refusals_before
 
 
 @then("no endpoint was called")
 def step_not_called(context):
-    assert calls(context) == context.calls
+    assert count_calls(context) == context.calls
 
 
 @when("{count:d} connections are opened that send nothing")
@@ -203,7 +208,7 @@
     ]
 
 
-@then("a caller is served all the while")
+@then("a caller is served meanwhile")
 def step_served(context):
     for _ in range(5):
         answer = context.client.request("POST", "/v1/programs", {})
@@ -233,8 +238,8 @@
     )
 
 
-@then("the same turn is there later")
-def step_later(context):
+@then("a later repeat returns the turn")
+def step_repeat(context):
     answer = context.client.chat(
         "x",
         context.program,
--- a/tests/features/steps/logs.py
+++ b/tests/features/steps/logs.py
@@ -1,4 +1,4 @@
-"""Steps that read the instances' logs, and present tokens and keys."""
+"""Steps that read the instances' logs and use tokens and keys."""
 
 import collections
 import json
@@ -20,10 +20,10 @@
     "leith": "the-key-of-leith-0001",
     "portobello": "the-key-of-portobello",
 }
-_GUARDED = 1
-_MARK = "embargoed-until-nine"
+_GUARDED_INDEX = 1
+_EMBARGOED_TEXT = "embargoed-until-nine"
 _JSON = '[log]\nformat = "json"\nlevel = "DEBUG"\n'
-_GIVEN = re.compile(r"Shard (\S+) given to (\S+) at epoch (\d+)\.")
+_ASSIGNMENT = re.compile(r"Shard (\S+) given to (\S+) at epoch (\d+)\.")
 _TEXT_PROGRAM = """
 import time
 from rattanmill_core import configure_logs, log_ids, part_logger
@@ -39,17 +39,15 @@
 """
 
 
-@given(
-    "a system with logs in JSON and an instance that asks for token and keys"
-)
+@given("a system with JSON logs and an instance that requires token and keys")
 def step_guarded(context):
     if start(context, Layout(extra=_JSON)):
-        _guard(context.system)
-    context.guarded = context.clients[_GUARDED]
+        _require_secrets(context.system)
+    context.guarded = context.clients[_GUARDED_INDEX]
 
 
-def _guard(system):
-    """Starts one instance again, with files of token and keys."""
+def _require_secrets(system):
+    """Restarts one instance with a token file and a key file."""
     folder = pathlib.Path(system.folder)
     token, keys = folder / "token", folder / "keys"
     token.write_text(_TOKEN + "\n")
@@ -58,50 +56,52 @@
         f'{_JSON}[operators]\ntoken_file = "{token}"\n'
         f'[callers]\nkeys_file = "{keys}"\n'
     )
-    instance = system.instances[_GUARDED]
+    instance = system.instances[_GUARDED_INDEX]
     instance.process.terminate()
     instance.process.wait()
     system.start_instance(instance)
     system.layout.extra = _JSON
-    wait_until(lambda: _serves(system), "every shard has an owner again")
+    wait_until(lambda: _owns_shards(system), "every shard has an owner again")
 
 
-def _serves(system):
-    answer = _ask(system.instances[_GUARDED].client, "/v1/admin/status", _TOKEN)
+def _owns_shards(system):
+    answer = _request(
+        system.instances[_GUARDED_INDEX].client, "/v1/admin/status", _TOKEN
+    )
     owned = answer.json["shards"] if answer.status == 200 else []
     other = system.instances[0].client.request("GET", "/v1/admin/status")
     return owned and len(owned) + len(other.json["shards"]) == 6
 
 
-def _ask(client, path, secret, method="GET", body=None, **headers):
+def _request(client, path, secret, method="GET", body=None, **headers):
     if secret:
         headers["Authorization"] = f"Bearer {secret}"
     return client.request(method, path, body, headers)
 
 
-@when('"{path}" is asked for without a token')
-def step_ask(context, path):
-    context.asked = _ask(context.guarded, path, "")
+@when('"{path}" is requested without a token')
+def step_request(context, path):
+    context.response = _request(context.guarded, path, "")
 
 
-@when('"{path}" is asked for with the bearer "{secret}"')
-def step_ask_wrong(context, path, secret):
-    context.asked = _ask(context.guarded, path, secret)
+@when('"{path}" is requested with the bearer "{secret}"')
+def step_request_wrong(context, path, secret):
+    context.response = _request(context.guarded, path, secret)
 
 
-@when('"{path}" is asked for with the operators\' token')
-def step_ask_right(context, path):
-    context.asked = _ask(context.guarded, path, _TOKEN)
+@when('"{path}" is requested with the operators\' token')
+def step_request_right(context, path):
+    context.response = _request(context.guarded, path, _TOKEN)
 
 
-@then("the asking is answered with {status:d}")
-def step_asked(context, status):
-    assert context.asked.status == status, context.asked
+@then("the response status is {status:d}")
+def step_requested(context, status):
+    assert context.response.status == status, context.response
     if status == 401:
-        assert context.asked.headers["www-authenticate"] == "Bearer"
+        assert context.response.headers["www-authenticate"] == "Bearer"
 
 
-@when("the operator's command asks for the status with the token's file")
+@when("the operator's command requests the status with the token's file")
 def step_command(context):
     path = pathlib.Path(context.system.folder, "token")
     address = context.guarded.address
@@ -114,48 +114,50 @@
     context.done = run_command(text.split(), context.guarded.address)
 
 
-def _make(context, key, **fields):
-    return _ask(context.guarded, "/v1/programs", key, "POST", fields)
+def _create_program(context, key, **fields):
+    return _request(context.guarded, "/v1/programs", key, "POST", fields)
 
 
-@when('a program is made with the key of "{workspace}" for workspace "{name}"')
-@when('a program is made with the key of "{workspace}" for workspace ""')
-def step_make(context, workspace, name=""):
-    context.made = _make(context, _KEYS[workspace], workspace=name)
+@when(
+    'a program is created with the key of "{workspace}" for workspace "{name}"'
+)
+@when('a program is created with the key of "{workspace}" for workspace ""')
+def step_create(context, workspace, name=""):
+    context.created = _create_program(context, _KEYS[workspace], workspace=name)
 
 
-@when("a program is made without a key")
-def step_make_bare(context):
-    context.made = _make(context, "")
+@when("a program is created without a key")
+def step_create_bare(context):
+    context.created = _create_program(context, "")
 
 
-@then("the making is refused with {status:d}")
-def step_make_refused(context, status):
-    assert context.made.status == status, context.made
+@then("the creation is refused with {status:d}")
+def step_create_refused(context, status):
+    assert context.created.status == status, context.created
 
 
 @then('the program\'s workspace is "{workspace}"')
 def step_workspace(context, workspace):
-    program = context.made.json["program"]
+    program = context.created.json["program"]
     path = f"/v1/programs/{program}"
-    shown = _ask(context.guarded, path, _KEYS[workspace])
+    shown = _request(context.guarded, path, _KEYS[workspace])
     assert shown.json["workspace"] == workspace, shown
 
 
 @then(
     'the key of "{workspace}" may not show, run or end it,'
-    " nor have a child of it"
+    " nor create a child of it"
 )
 def step_foreign(context, workspace):
-    program = context.made.json["program"]
+    program = context.created.json["program"]
     key = _KEYS[workspace]
     path = f"/v1/programs/{program}"
     chat = {"model": "commentary", "messages": [{"role": "user"}]}
     answers = [
-        _ask(context.guarded, path, key),
-        _ask(context.guarded, f"{path}/history", key),
-        _ask(context.guarded, path, key, "DELETE"),
-        _ask(
+        _request(context.guarded, path, key),
+        _request(context.guarded, f"{path}/history", key),
+        _request(context.guarded, path, key, "DELETE"),
+        _request(
             context.guarded,
             "/v1/chat/completions",
             key,
@@ -163,18 +165,18 @@
             chat,
             **{"Rattanmill-Program": program},
         ),
-        _make(context, key, parent=program),
+        _create_program(context, key, parent=program),
     ]
     assert [a.status for a in answers] == [403] * 5, answers
 
 
 @then("the operators' token may show it")
 def step_operator_shows(context):
-    path = f"/v1/admin/programs/{context.made.json['program']}"
-    assert _ask(context.guarded, path, _TOKEN).status == 200
+    path = f"/v1/admin/programs/{context.created.json['program']}"
+    assert _request(context.guarded, path, _TOKEN).status == 200
 
 
-@when("a streamed turn runs, and an act whose answer is lost")
+@when("a streamed turn runs, and an act whose response is lost")
 def step_calls(context):
     client = context.clients[2]
     context.program = context.clients[4].create()
@@ -217,21 +219,21 @@
         assert {"time", "level", "part", "message"} <= set(line), line
 
 
-@when("an instance is ended and its shards have new owners")
+@when("an instance is stopped and its shards have new owners")
 def step_end_instance(context):
     instance = context.system.instances[5]
     instance.process.terminate()
     assert instance.process.wait() == 0
     context.system.start_instance(instance)
     client = context.clients[4]
-    wait_until(lambda: _owners(client) == 6, "all shards have living owners")
+    wait_until(lambda: _owners(client) == 6, "all shards have live owners")
 
 
 def _owners(client):
     status = client.request("GET", "/v1/admin/status").json
-    living = [i["name"] for i in status["instances"] if i["registered"]]
+    live = [i["name"] for i in status["instances"] if i["registered"]]
     owners = status["owners"]["alba-north"]
-    return sum(owner in living for owner in owners)
+    return sum(owner in live for owner in owners)
 
 
 @then("each new epoch is logged once among all instances")
@@ -239,7 +241,7 @@
     found = collections.Counter(
         match.groups()
         for line in _lines(context)
-        if (match := _GIVEN.fullmatch(line["message"]))
+        if (match := _ASSIGNMENT.fullmatch(line["message"]))
     )
     assert found, "no change was logged"
     assert set(found.values()) == {1}, found
@@ -257,30 +259,35 @@
     guarded, key = context.guarded, _KEYS["leith"]
     chat = {
         "model": "commentary",
-        "messages": [{"role": "user", "content": _MARK}],
+        "messages": [{"role": "user", "content": _EMBARGOED_TEXT}],
         "max_tokens": 8,
     }
     path = "/v1/chat/completions"
-    assert _ask(guarded, path, key, "POST", chat).status == 200
-    broken = {**chat, "max_tokens": _MARK}
-    assert _ask(guarded, path, key, "POST", broken).status == 400
+    assert _request(guarded, path, key, "POST", chat).status == 200
+    broken = {**chat, "max_tokens": _EMBARGOED_TEXT}
+    assert _request(guarded, path, key, "POST", broken).status == 400
     act = {
         "Idempotency-Key": random_text(),
         "Rattanmill-Non-Idempotent": "true",
     }
     context.system.standins["office-1"].faults(lose_answers=1)
     path = "/v1/services/index-office/invoices"
-    answer = _ask(guarded, path, key, "POST", _MARK.encode(), **act)
+    answer = _request(
+        guarded, path, key, "POST", _EMBARGOED_TEXT.encode(), **act
+    )
     assert answer.status == 409, answer
-    assert _ask(guarded, "/v1/admin/config", _TOKEN).status == 200
+    assert _request(guarded, "/v1/admin/config", _TOKEN).status == 200
     path = "/v1/admin/config"
-    assert _ask(guarded, path, _TOKEN, "PUT", _MARK.encode()).status == 422
+    assert (
+        _request(guarded, path, _TOKEN, "PUT", _EMBARGOED_TEXT.encode()).status
+        == 422
+    )
 
 
-@then("no log of any instance has one of them")
+@then("no log of any instance contains one of them")
 def step_no_secrets(context):
     peers = pathlib.Path(context.system.folder, "secret").read_text()
-    secrets = [_TOKEN, *_KEYS.values(), peers, _MARK]
+    secrets = [_TOKEN, *_KEYS.values(), peers, _EMBARGOED_TEXT]
     for path in _logs(context):
         text = path.read_text()
         found = [secret for secret in secrets if secret in text]
@@ -316,7 +323,7 @@
     os.kill(context.system.instances[4].process.pid, signal.SIGHUP)
 
 
-@then("that is logged, and the instance goes on")
+@then("that is logged, and the instance continues")
 def step_hangup_logged(context):
     log = context.system.instances[4].process.log
     wait_until(lambda: "SIGHUP ignored" in log.read_text(), "it is logged")
@@ -338,8 +345,8 @@
 """
 
 
-def _fail(context, error):
-    """Runs a daemon whose status raises, and asks for its status."""
+def _request_failing_status(context, error):
+    """Runs a daemon whose status raises, and requests its status."""
     system = context.system
     spare = system.instances[0]
     http, peer = system.address("127.0.1.30"), system.address("127.0.1.30")
@@ -356,50 +363,50 @@
     wait_until(
         lambda: client.request("GET", "/healthz").status == 200, "it serves"
     )
-    context.asked = client.request("GET", "/v1/admin/status")
+    context.response = client.request("GET", "/v1/admin/status")
     context.alive = client.request("GET", "/healthz").status
 
 
-@when("a request meets an error in a daemon of its own")
+@when("a request causes an unexpected error in a separate daemon")
 def step_fail(context):
-    _fail(context, 'ValueError("unforeseen")')
+    _request_failing_status(context, 'ValueError("unforeseen")')
 
 
-@when("a request meets a broken invariant in a daemon of its own")
+@when("a request causes a broken invariant in a separate daemon")
 def step_break(context):
-    _fail(context, 'InvariantError("Turn 3 follows turn 1.")')
+    _request_failing_status(context, 'InvariantError("Turn 3 follows turn 1.")')
 
 
-@then('it is refused as "internal", and the daemon goes on')
+@then('it is refused as "internal", and the daemon continues')
 def step_internal(context):
-    assert context.asked.status == 500, context.asked
-    assert context.asked.json["reason"] == "internal", context.asked
+    assert context.response.status == 500, context.response
+    assert context.response.json["reason"] == "internal", context.response
     assert context.alive == 200
     context.failing.terminate()
-    _, context.said = context.failing.communicate(timeout=30)
-    assert context.failing.returncode == 0, context.said
+    _, context.stderr = context.failing.communicate(timeout=30)
+    assert context.failing.returncode == 0, context.stderr
 
 
 @then("the traceback is one line of JSON")
 def step_traceback(context):
-    lines = [json.loads(line) for line in context.said.splitlines()]
+    lines = [json.loads(line) for line in context.stderr.splitlines()]
     found = [line["exception"] for line in lines if "exception" in line]
     assert len(found) == 1 and "unforeseen" in found[0], lines
-    assert "hidden-value" not in context.said, found
+    assert "hidden-value" not in context.stderr, found
 
 
-@then("the daemon ends with {code:d} and says why")
+@then("the daemon exits with {code:d} and prints the reason")
 def step_ends_broken(context, code):
-    _, said = context.failing.communicate(timeout=30)
-    assert context.failing.returncode == code, said
-    assert said.splitlines()[-1] == "Turn 3 follows turn 1.", said
+    _, stderr = context.failing.communicate(timeout=30)
+    assert context.failing.returncode == code, stderr
+    assert stderr.splitlines()[-1] == "Turn 3 follows turn 1.", stderr
 
 
 _NEW_KEY = "the-key-of-cramond-01"
 
 
 def _write_keys(context, text):
-    """Replaces the file by a rename, so that no half of it is ever read."""
+    """Replaces the file by a rename, so that it is never read partially."""
     path = pathlib.Path(context.system.folder, "keys")
     new = path.with_suffix(".new")
     new.write_text(text)
@@ -411,21 +418,21 @@
 
 
 def _accepted(context):
-    return _make(context, _NEW_KEY).status == 201
+    return _create_program(context, _NEW_KEY).status == 201
 
 
-@when('the file of keys gets a key for "{workspace}"')
+@when('the key file gets a key for "{workspace}"')
 def step_new_key(context, workspace):
     assert not _accepted(context)
     _write_keys(context, f'{_keys_text()}{workspace} = "{_NEW_KEY}"\n')
 
 
-@when("the file of keys is cut off in the middle")
-def step_half_keys(context):
+@when("the key file is truncated")
+def step_truncate_keys(context):
     _write_keys(context, 'leith = "the-k')
 
 
-@when('the file of keys loses the key of "{workspace}"')
+@when('the key file loses the key of "{workspace}"')
 def step_lose_key(context, workspace):
     _write_keys(context, _keys_text())
 
@@ -442,7 +449,7 @@
 
 @then('that is logged, and the key of "{workspace}" is still accepted')
 def step_key_kept(context, workspace):
-    log = context.system.instances[_GUARDED].process.log
+    log = context.system.instances[_GUARDED_INDEX].process.log
     wait_until(
         lambda: "Kept the old keys and token" in log.read_text(), "it is logged"
     )
--- a/tests/features/steps/metrics.py
+++ b/tests/features/steps/metrics.py
@@ -1,4 +1,4 @@
-"""Steps that cause what is counted, and read the page of metrics."""
+"""Steps that cause counted events and read the page of metrics."""
 
 import ast
 import pathlib
@@ -14,10 +14,10 @@
 from support import wait_until
 from support.stack import random_text
 
-_NAME = re.compile(r"^rattanmill_[a-z_]+$")
-_ROW = re.compile(r"^\| `(rattanmill_\w+)` \| \w+ \| (.*?) ?\| .+ \|$")
-_VALUES = re.compile(r"^\| `([a-z_.]+)` \| (.+) \|$")
-_COUNTING = ("count", "_count", "observe", "gauge", "total")
+_METRIC_NAME = re.compile(r"^rattanmill_[a-z_]+$")
+_METRIC_ROW = re.compile(r"^\| `(rattanmill_\w+)` \| \w+ \| (.*?) ?\| .+ \|$")
+_LABEL_VALUES_ROW = re.compile(r"^\| `([a-z_.]+)` \| (.+) \|$")
+_METRIC_METHODS = ("count", "_count", "observe", "gauge", "total")
 
 
 def _ended(client):
@@ -49,7 +49,7 @@
     return client.request("PUT", "/v1/admin/config", {**document, **changes})
 
 
-_REFUSED = {
+_REFUSED_CALLS = {
     "bad_request": lambda c: c.request("POST", "/v1/chat/completions", b"{"),
     "body_too_large": lambda c: c.request(
         "POST", "/v1/chat/completions", b" " * (5 * 1024 * 1024)
@@ -80,13 +80,13 @@
 }
 
 
-@when('a caller does what is refused as "{reason}"')
+@when('a caller sends a call that is refused as "{reason}"')
 def step_refused(context, reason):
     if reason == "act_unknown":
         for spec in context.system.layout.services:
             context.system.standins[spec.name].faults(lose_answers=1)
     context.before = [_refusals(c, reason) for c in context.clients]
-    answer = _REFUSED[reason](context.clients[4])
+    answer = _REFUSED_CALLS[reason](context.clients[4])
     assert answer.json["reason"] == reason, answer
 
 
@@ -97,23 +97,23 @@
 @then('the refusal "{reason}" is counted once, at that instance')
 def step_counted(context, reason):
     after = [_refusals(c, reason) for c in context.clients]
-    grown = [b - a for a, b in zip(context.before, after, strict=True)]
-    assert grown == [0, 0, 0, 0, 1, 0], grown
+    increases = [b - a for a, b in zip(context.before, after, strict=True)]
+    assert increases == [0, 0, 0, 0, 1, 0], increases
 
 
-@when("services break connections until a call was tried again")
+@when("services break connections until a call was retried")
 def step_break(context):
-    def tried_again():
+    def is_retried():
         for spec in context.system.layout.services:
             context.system.standins[spec.name].faults(refuse_before=1)
-        # The HTTP library repeats a broken GET by itself, but not a POST.
+        # The HTTP library itself retries a broken GET, but not a POST.
         path = "/v1/services/index-office/x"
         context.clients[2].request("POST", path, b"hello")
         name = "rattanmill_retries_total"
         context.retries = context.clients[2].metric(name, reason="broken")
         return context.retries
 
-    wait_until(tried_again, "a call was tried again")
+    wait_until(is_retried, "a call was retried")
 
 
 @then('the retry "{reason}" is counted')
@@ -131,7 +131,7 @@
         context.metrics.retried(reason)
 
 
-@then("each shows up with a count of 1")
+@then("each is exported with a count of 1")
 def step_each_shown(context):
     lines = context.metrics.exposition().decode().splitlines()
     for name, reasons in (
@@ -156,7 +156,7 @@
     assert answer.status == 200, answer
 
 
-@then("these have values above 0 at one instance or another")
+@then("these have values above 0 at any instance")
 def step_above(context):
     for row in context.table:
         values = [c.metric(row["name"]) for c in context.clients]
@@ -167,9 +167,9 @@
 def step_compare(context):
     page = pathlib.Path("docs/METRICS.md").read_text(encoding="utf-8")
     lines = page.splitlines()
-    found = [_ROW.match(line) for line in lines]
+    found = [_METRIC_ROW.match(line) for line in lines]
     context.page = {m[1]: set(re.findall(r"`(\w+)`", m[2])) for m in found if m}
-    found = [_VALUES.match(line) for line in lines]
+    found = [_LABEL_VALUES_ROW.match(line) for line in lines]
     context.values = {
         m[1]: set(re.findall(r"`([\w ]+)`", m[2])) for m in found if m
     }
@@ -182,9 +182,9 @@
 
 def _read_node(context, node):
     if isinstance(node, ast.Constant) and isinstance(node.value, str):
-        if _NAME.match(node.value):
+        if _METRIC_NAME.match(node.value):
             context.names.add(node.value)
-    elif isinstance(node, ast.Call) and _counts(node):
+    elif isinstance(node, ast.Call) and _is_metric_call(node):
         labels = context.labels.setdefault(node.args[0].value, {})
         for keyword in node.keywords:
             values = labels.setdefault(keyword.arg, set())
@@ -196,10 +196,10 @@
             }
 
 
-def _counts(node):
+def _is_metric_call(node):
     return (
         isinstance(node.func, ast.Attribute)
-        and node.func.attr in _COUNTING
+        and node.func.attr in _METRIC_METHODS
         and node.args
         and isinstance(node.args[0], ast.Constant)
         and str(node.args[0].value).startswith("rattanmill_")
--- a/tests/features/steps/outage.py
+++ b/tests/features/steps/outage.py
@@ -1,4 +1,4 @@
-"""Steps of the table of what is served when."""
+"""Steps for the table of calls that are served during outages."""
 
 import time
 
@@ -29,7 +29,7 @@
         )
 
 
-@when("the owner's peer loses its record and lives on")
+@when("the owner's peer loses its record and keeps running")
 def step_unregistered(context):
     context.owner = context.system.owner_of(context.program)
     peer = other_in_domain(context, context.owner)
@@ -47,7 +47,7 @@
 
 
 @when("the owner's peer dies and {count:d} lease time passes")
-def step_alone(context, count):
+def step_peer_dies(context, count):
     peer = other_in_domain(context, context.owner)
     peer.process.kill()
     restart_at_end(context, peer)
@@ -60,7 +60,7 @@
 
 
 def over_reserved(context):
-    """Asks for more than an eighth of the budget, which is what is ahead."""
+    """Requests more than an eighth of the budget, which is reserved ahead."""
     client = context.owner.client
     return client.chat("Long.", context.program, 2, max_tokens=4_000_000)
 
@@ -94,16 +94,16 @@
 
 
 @then("meanwhile {call} gets {result}")
-def step_answered(context, call, result):
-    began = time.monotonic()
+def step_result(context, call, result):
+    started_at = time.monotonic()
     answer = _CALLS[call](context)
     if not result[0].isdecimal():
         assert answer.status >= 400, answer
         assert answer.json["reason"] == result, answer
         assert answer.json["ran"] == "no", answer
         assert "retry-after" in answer.headers, answer
-        # Far beyond what it takes: it must not wait for the service.
-        assert time.monotonic() - began < 20, answer
+        # Far longer than a refusal takes: it must not wait for the service.
+        assert time.monotonic() - started_at < 20, answer
         return
     status_text, _, receipt = result.partition(" and ")
     assert answer.status == int(status_text), answer
--- a/tests/features/steps/shutdown.py
+++ b/tests/features/steps/shutdown.py
@@ -1,4 +1,4 @@
-"""Steps of graceful shutdowns."""
+"""Steps for graceful shutdowns."""
 
 import concurrent.futures
 
@@ -11,13 +11,13 @@
     domains=("alba-north",),
     per_domain=3,
     engines=[EngineSpec("engine-1", options={"slots": 64})],
-    # An instance that is stopped for a third of it refuses, rightly; a busy
-    # machine stops one for half a second.
+    # An instance that is paused for a third of it refuses, as intended. A
+    # busy machine pauses one for half a second.
     lease_seconds=2.0,
     extra="[limits]\ndrain_seconds = 20\nnotice_seconds = 0.5\n",
 )
-# Ten seconds' worth: what is asked meanwhile takes a second, and several on a
-# machine that is busy.
+# Streams for ten seconds: the requests sent meanwhile take a second, or
+# several seconds on a busy machine.
 _LONG_TOKENS = 4000
 _NEW_PROGRAMS = 40
 _SLOW_FACTOR = 20.0
@@ -34,7 +34,7 @@
             system.start_instance(instance)
     system.wait_ready()
     context.calls = []
-    context.ended = []
+    context.stopped_instances = []
     context.pool = context.scenario_stack.enter_context(
         concurrent.futures.ThreadPoolExecutor(64)
     )
@@ -63,7 +63,7 @@
 
 
 def own_program(context, instance):
-    """Makes a program that an instance owns."""
+    """Creates a program that the instance owns."""
     program = instance.client.create()
     assert context.system.owner_of(program).name == instance.name
     return program
@@ -73,8 +73,8 @@
 def step_load(context):
     instances = context.system.instances
     engine = context.system.standins["engine-1"]
-    # The first must not have ended before the last has begun, however long
-    # it takes to send them.
+    # The first must not end before the last has started, however long it
+    # takes to send them.
     engine.faults(slow_factor=_SLOW_FACTOR)
     context.scenario_stack.callback(engine.faults, slow_factor=1.0)
     for owner in instances:
@@ -87,7 +87,7 @@
                 if turn == 1:
                     count = len(context.calls) // 2 + 1
                     wait_until(
-                        lambda least=count: running(context) >= least,
+                        lambda minimum=count: running(context) >= minimum,
                         "the first turn runs",
                     )
     wait_until(lambda: running(context) >= 9, "all streams run")
@@ -96,26 +96,26 @@
         context.system.standins["kv"].faults(down=True)
 
 
-def end(context, instance):
+def shut_down(context, instance):
     instance.process.terminate()
-    context.ended.append(instance)
-    # Else the next scenario would go on with an instance that is about to end.
+    context.stopped_instances.append(instance)
+    # Otherwise the next scenario would use an instance that is shutting down.
     context.scenario_stack.callback(instance.process.wait)
 
 
-@when("one instance is told to end")
+@when("one instance is told to shut down")
 def step_end_one(context):
-    end(context, context.system.instances[0])
+    shut_down(context, context.system.instances[0])
 
 
-@when("two instances are told to end")
+@when("two instances are told to shut down")
 def step_end_two(context):
-    end(context, context.system.instances[0])
-    end(context, context.system.instances[1])
+    shut_down(context, context.system.instances[0])
+    shut_down(context, context.system.instances[1])
 
 
-@then("every one of those calls is answered whole")
-def step_whole(context):
+@then("each of those calls gets a complete answer")
+def step_complete(context):
     for call in context.calls:
         answer = call.result()
         assert answer.status == 200, answer
@@ -126,13 +126,13 @@
         ]
 
 
-@then("what was told to end exits with 0")
+@then("each instance that was told to shut down exits with 0")
 def step_exit(context):
-    for instance in context.ended:
+    for instance in context.stopped_instances:
         assert instance.process.wait() == 0, instance.process.tail()
 
 
-@when("a long stream keeps an instance that is told to end")
+@when("an instance with a long stream is told to shut down")
 def step_long(context):
     leaving = context.system.instances[0]
     context.others = [
@@ -145,26 +145,26 @@
     context.calls.append(call)
     context.long_program = program
     wait_until(lambda: running(context), "the stream runs")
-    end(context, leaving)
+    shut_down(context, leaving)
     wait_until(
         lambda: leaving.client.request("GET", "/readyz").status == 503,
         "the instance is draining",
     )
 
 
-@then("that instance says it is not ready")
+@then("that instance is not ready")
 def step_not_ready(context):
-    answer = context.ended[0].client.request("GET", "/readyz")
+    answer = context.stopped_instances[0].client.request("GET", "/readyz")
     assert answer.status == 503, answer
 
 
-@then("new calls through it are answered or told when to come back")
+@then("new calls through it are answered or refused with a Retry-After")
 def step_new_calls(context):
-    client = context.ended[0].client
+    client = context.stopped_instances[0].client
     answers = [client.chat("no program") for _ in range(3)]
     answers += [client.request("POST", "/v1/programs", {}) for _ in range(3)]
     answers.append(client.act(random_text()))
-    assert not context.long.done(), "the stream ended too early to tell"
+    assert not context.long.done(), "the stream ended too early for the check"
     assert all(a.status for a in answers), answers
     wrong = [
         a for a in answers if a.status >= 300 and "retry-after" not in a.headers
@@ -174,8 +174,8 @@
     assert answers[0].headers.get("connection") == "close", answers[0]
 
 
-@then("calls of the stream's shard are told to come back while it runs")
-def step_kept_shard(context):
+@then("calls of the stream's shard get a Retry-After while it runs")
+def step_delayed_shard(context):
     program = context.long_program
     calls = [
         call
@@ -186,20 +186,22 @@
         )
     ]
     answers = [call.result() for call in calls]
-    assert not context.long.done(), "the stream ended too early to tell"
+    assert not context.long.done(), "the stream ended too early for the check"
     reasons = {a.json["reason"] for a in answers}
     assert reasons == {"shutting_down"}, answers
     assert all(a.json["ran"] == "no" for a in answers), answers
     assert all("retry-after" in a.headers for a in answers), answers
 
 
-@then("new programs are made through that instance while it runs")
+@then("new programs are created through that instance while it runs")
 def step_new_programs(context):
-    # One in six met the shard that the stream keeps.
+    # One in six was placed in the shard that the stream delays.
     for _ in range(_NEW_PROGRAMS):
-        answer = context.ended[0].client.request("POST", "/v1/programs", {})
+        answer = context.stopped_instances[0].client.request(
+            "POST", "/v1/programs", {}
+        )
         assert answer.status == 201, answer
-    assert not context.long.done(), "the stream ended too early to tell"
+    assert not context.long.done(), "the stream ended too early for the check"
 
 
 @then("programs of its other shards are answered while the stream runs")
@@ -211,25 +213,25 @@
     for program in programs:
         answer = client.chat("elsewhere", program, 1)
         assert answer.status == 200, answer
-    assert not context.long.done(), "the stream ended too early to tell"
+    assert not context.long.done(), "the stream ended too early for the check"
 
 
-@when("an act runs whose caller has gone")
+@when("an act runs whose caller has disconnected")
 def step_act(context):
     system = context.system
     context.key = random_text()
     context.owner = system.instances[0]
     context.program = own_program(context, context.owner)
     system.standins["office-1"].faults(slow_seconds=1.0)
-    impatient = Client(context.owner.http, 0.3)
+    short_timeout_client = Client(context.owner.http, 0.3)
     context.pool.submit(
-        impatient.act, context.key, "deposit", context.program
+        short_timeout_client.act, context.key, "deposit", context.program
     ).result()
 
 
-@when("its owner is told to end")
+@when("its owner is told to shut down")
 def step_end_owner(context):
-    end(context, context.owner)
+    shut_down(context, context.owner)
 
 
 @then("the act's repeat is answered with its outcome")
@@ -240,7 +242,7 @@
     assert answer.json["run"] == 1, answer
 
 
-@when("a service call hangs at an instance that is told to end")
+@when("an instance with a hanging service call is told to shut down")
 def step_hang(context):
     system = context.system
     system.standins["office-1"].faults(hang=True)
@@ -255,9 +257,9 @@
         lambda: system.standins["office-1"].stats().get("calls", 0) > before,
         "the call hangs",
     )
-    end(context, system.instances[0])
+    shut_down(context, system.instances[0])
 
 
-@then("its log says what was cut off")
+@then("its log reports what was aborted")
 def step_log(context):
-    assert "Cut off: 1 requests" in context.ended[0].process.tail()
+    assert "Cut off: 1 requests" in context.stopped_instances[0].process.tail()
