--- a/libs/keeper/src/rattanmill_keeper/following.py
+++ b/libs/keeper/src/rattanmill_keeper/following.py
@@ -1,7 +1,7 @@
-"""Follows the other storage instances, and fetches what is missing here.
+"""Replicates data from the other storage instances to this one.
 
-One mechanism fills an empty or replaced disk, heals a cut, and spreads turns
-that only one failure domain could take.
+One mechanism fills an empty or replaced disk, catches up after a partition, and
+replicates turns that could be stored in one failure domain only.
 """
 
 import asyncio
@@ -25,13 +25,14 @@
 )
 
 _POLL_SECONDS = 0.5
-_ASK_SECONDS = 1.0
-_FETCH_TURNS = 40
+_REQUEST_TIMEOUT_SECONDS = 1.0
+_MAX_FETCHED_TURNS = 40
 # Chains of some minutes, 0.2 KB each.
-_MOST_KEYS = 5_000
-# With an empty disk and nobody to follow, others may only be slow to start;
-# after this the only storage instance has to go on with what it has.
-_ALONE_SECONDS = 60.0
+_MAX_CACHED_KEYS = 5_000
+# With an empty disk and no other instance to follow, the others may only be
+# slow to start; after this time the only storage instance has to go on with
+# the data that it has.
+_LONE_INSTANCE_SECONDS = 60.0
 
 
 class Progress(msgspec.Struct):
@@ -39,19 +40,26 @@
 
     Attributes:
         run: Its run.
-        position: Position up to which everything was taken.
-        ended: Whether its end was reached once in that run.
-        absent: Who it says may have something that was lost here.
+        position: Position up to which everything was fetched.
+        has_caught_up: Whether the end was reached at least once in that run.
+        absent: Absent members that, as it reports, may hold data that was lost
+            here.
     """
 
     run: str = ""
     position: int = 0
-    ended: bool = False
+    has_caught_up: bool = False
     absent: frozenset[str] = frozenset()
 
 
-class Following:
-    """Keeps one task for each other storage instance.
+class Follower:
+    """Follows each other storage instance in a task of its own.
+
+    Attributes:
+        progress: How far each member was followed, by name.
+        tasks: The tasks, by name of the member.
+        domain_peers: Members of this domain that share its turns, including
+            this instance.
 
     Args:
         keeper: This instance.
@@ -63,12 +71,12 @@
         self.members = members
         self.progress: dict[str, Progress] = {}
         self.tasks: dict[str, asyncio.Task] = {}
-        self.sharing: frozenset[str] = frozenset()
-        self.started = asyncio.get_running_loop().time()
+        self.domain_peers: frozenset[str] = frozenset()
+        self.started_at = asyncio.get_running_loop().time()
         self.task: asyncio.Task | None = None
 
     async def __aenter__(self) -> Self:
-        self.task = start_loop("following", self._tend())
+        self.task = start_loop("following", self._run())
         return self
 
     async def __aexit__(self, *exc_info: object) -> None:
@@ -76,73 +84,78 @@
             if task:
                 task.cancel()
 
-    async def _tend(self) -> None:
+    async def _run(self) -> None:
         while True:
             for name in list(self.members.known):
                 if name != self.keeper.name and name not in self.tasks:
                     self.tasks[name] = start_loop(
                         f"following of {name}", self._follow(name)
                     )
-            self.review_share()
-            if not self.keeper.whole and self.is_complete():
-                self.keeper.mark_whole()
+            self.update_domain_peers()
+            if not self.keeper.is_recovered and self.is_complete():
+                self.keeper.mark_recovered()
             await asyncio.sleep(_POLL_SECONDS / 2)
 
-    def review_share(self) -> None:
-        """Follows all anew when this instance has to hold other turns.
+    def update_domain_peers(self) -> None:
+        """Follows all members anew if this instance has to hold other turns.
 
-        Members of its domain share the turns. When one comes, goes or falls
-        silent, turns that were passed over before may have to be here now.
+        Members of one domain share its turns. When one of them joins, leaves
+        or becomes unresponsive, turns that were skipped before may have to be
+        stored here now.
         """
-        sharing = self._sharing()
-        if sharing == self.sharing:
+        domain_peers = self._domain_peers()
+        if domain_peers == self.domain_peers:
             return
-        self.sharing = sharing
+        self.domain_peers = domain_peers
         for progress in self.progress.values():
             progress.run = ""
-            progress.ended = False
-        log_event("share_reviewed", keepers=sorted(sharing))
+            progress.has_caught_up = False
+        log_event("share_reviewed", keepers=sorted(domain_peers))
 
-    def _sharing(self) -> frozenset[str]:
+    def _domain_peers(self) -> frozenset[str]:
         """Returns the members of this domain that can hold turns now.
 
-        One that was replaced stays listed for some seconds. If it counted,
-        its successor would pass over the turns that it had held, and with the
-        next lost disk they would be gone.
+        A member that was replaced stays registered for some seconds. If it
+        counted, its successor would skip the turns that it had held, and these
+        would be gone with the next lost disk.
         """
         mine = self.members.known.get(self.keeper.name)
         found = {self.keeper.name}
         for member in self.members.known.values():
-            same = mine is not None and member.domain == mine.domain
-            there = not self.members.link(member).failures
-            if same and there and not member.leaving:
+            is_peer = mine is not None and member.domain == mine.domain
+            is_responsive = not self.members.link(member).failures
+            if is_peer and is_responsive and not member.leaving:
                 found.add(member.name)
         return frozenset(found)
 
     def is_complete(self) -> bool:
-        """Whether all that others know has come in."""
+        """Whether all data that the other members know of was fetched."""
         if not self.members.synced or self.members.watch.away_since:
             return False
         others = [n for n in self.members.known if n != self.keeper.name]
-        age = asyncio.get_running_loop().time() - self.started
+        age = asyncio.get_running_loop().time() - self.started_at
         if not others:
-            return age > _ALONE_SECONDS
-        told = [self.progress.get(name, Progress()) for name in others]
-        # One that is out of reach may be the only one with what was lost here.
-        absent = set().union(*(each.absent for each in told)) - set(others)
-        return all(each.ended for each in told) and not absent
+            return age > _LONE_INSTANCE_SECONDS
+        reported = [self.progress.get(name, Progress()) for name in others]
+        # Data lost here may be held by an unreachable member only.
+        absent = set().union(*(each.absent for each in reported)) - set(others)
+        return all(each.has_caught_up for each in reported) and not absent
 
     async def _follow(self, name: str) -> None:
         while True:
             member = self.members.known.get(name)
             more = False
             if member and not self.keeper.is_closed:
-                more = await self.step(member)
+                more = await self.fetch_page(member)
             if not more:
                 await asyncio.sleep(_POLL_SECONDS)
 
-    async def step(self, member: Member) -> bool:
-        """Takes the next page; whether there is more at once."""
+    async def fetch_page(self, member: Member) -> bool:
+        """Fetches the next page of changes from a member.
+
+        Returns:
+            Whether there are more changes to fetch right now.
+        """
         progress = self.progress.setdefault(member.name, Progress())
         link = self.members.link(member)
         began = loop_seconds()
@@ -153,34 +166,34 @@
                 progress.position,
                 self.keeper.run,
             ),
-            _ASK_SECONDS,
+            _REQUEST_TIMEOUT_SECONDS,
         )
         if not isinstance(news, News):
             return False
         if news.run != progress.run:
             log_event("following_anew", keeper=member.name, run=news.run)
-            progress.ended = False
-        self.members.hear_of(news.revision)
+            progress.has_caught_up = False
+        self.members.expect_revision(news.revision)
         changes = [
             change
             for home in news.homes
             if (change := self.keeper.ledger.add_home(home))
         ]
-        # At once, so that they share the journal's writes.
+        # Concurrently, so that they share the journal's writes.
         await asyncio.gather(*map(self.keeper.write_home, changes))
         if not await self._fetch_accounts(member, news.accounts):
             return False
-        if not await self._fetch(member, news.turns):
+        if not await self._fetch_turns(member, news.turns):
             return False
         progress.run = news.run
         progress.position = news.position
         progress.absent = frozenset(news.absent)
         if news.is_counted and not news.more:
-            self.keeper.unheard.discard(member.name)
+            self.keeper.unsynced_peers.discard(member.name)
         if news.whole and not news.more:
-            self.keeper.level_at[member.name] = began
-        if not news.more and not progress.ended:
-            progress.ended = True
+            self.keeper.caught_up_at[member.name] = began
+        if not news.more and not progress.has_caught_up:
+            progress.has_caught_up = True
             log_event(
                 "following_level", keeper=member.name, position=news.position
             )
@@ -195,24 +208,28 @@
         if not programs:
             return True
         link = self.members.link(member)
-        reply = await link.ask(FetchAccounts(programs), 2 * _ASK_SECONDS)
+        reply = await link.ask(
+            FetchAccounts(programs), 2 * _REQUEST_TIMEOUT_SECONDS
+        )
         if not isinstance(reply, Accounts):
             return False
-        await self.keeper.take_accounts(reply.accounts)
+        await self.keeper.persist_accounts(reply.accounts)
         return True
 
-    async def _fetch(self, member: Member, turns: list[TurnRef]) -> bool:
+    async def _fetch_turns(self, member: Member, turns: list[TurnRef]) -> bool:
         """Fetches the turns that are missing here; False if that failed."""
         mine = [
             ref.turn
             for ref in turns
-            if _keeper_of(ref.key, self.sharing) == self.keeper.name
+            if _holder_of(ref.key, self.domain_peers) == self.keeper.name
         ]
         lacking = self.keeper.table.missing(mine)
         link = self.members.link(member)
-        for start in range(0, len(lacking), _FETCH_TURNS):
-            page = lacking[start : start + _FETCH_TURNS]
-            reply = await link.ask(FetchTurns(page), 2 * _ASK_SECONDS)
+        for start in range(0, len(lacking), _MAX_FETCHED_TURNS):
+            page = lacking[start : start + _MAX_FETCHED_TURNS]
+            reply = await link.ask(
+                FetchTurns(page), 2 * _REQUEST_TIMEOUT_SECONDS
+            )
             if not isinstance(reply, Turns):
                 return False
             await asyncio.gather(*map(self.keeper.keep, reply.turns))
@@ -221,8 +238,9 @@
         return True
 
 
-# Each turn is told by all that hold it, and the turns of a chain share a key.
-@functools.lru_cache(_MOST_KEYS)
-def _keeper_of(key: str, sharing: frozenset[str]) -> str:
-    """Returns which of the members that share a domain's turns keeps a key."""
-    return rank(key, sharing)[0]
+# Cached since every holder of a turn reports it, and the turns of a chain share
+# a key.
+@functools.lru_cache(_MAX_CACHED_KEYS)
+def _holder_of(key: str, domain_peers: frozenset[str]) -> str:
+    """Returns which of the members that share a domain's turns holds a key."""
+    return rank(key, domain_peers)[0]
--- a/libs/keeper/src/rattanmill_keeper/homes.py
+++ b/libs/keeper/src/rattanmill_keeper/homes.py
@@ -18,7 +18,7 @@
 
 from rattanmill_core import log_event, wall_seconds
 from rattanmill_keeper.ledger import Ledger
-from rattanmill_keeper.members import ROSTER_SECONDS, Members
+from rattanmill_keeper.members import ROSTER_EXPIRY_SECONDS, Members
 from rattanmill_keeper.messages import (
     Agree,
     Agreed,
@@ -110,7 +110,7 @@
         ledger: The ledger of this instance.
         members: The storage instances.
     """
-    if members.store_silence() > ROSTER_SECONDS / 2:
+    if members.store_silence_seconds() > ROSTER_EXPIRY_SECONDS / 2:
         return Unsure("cut off for too long to know all storage instances")
     roster = members.roster() | {ledger.name}
     request = Agree(program, ledger.name, holders, sorted(roster))
@@ -118,7 +118,7 @@
     outdated = [r for r in replies.values() if isinstance(r, Outdated)]
     if outdated:
         unknown = set().union(*(r.roster for r in outdated)) - roster
-        members.seen.update(dict.fromkeys(unknown, wall_seconds()))
+        members.last_seen.update(dict.fromkeys(unknown, wall_seconds()))
         roster |= unknown
         request = msgspec.structs.replace(request, roster=sorted(roster))
         replies = await _ask_others(request, members)
@@ -128,7 +128,7 @@
     consent = _consent(replies, request, ledger)
     agreed = len(roster - consent.missing) - 1
     decision = evaluate_consents(
-        len(roster), agreed, len(refused), members.lost_disks
+        len(roster), agreed, len(refused), members.tolerated_disk_losses
     )
     if decision is OpenDecision.OPEN:
         return consent
--- a/libs/keeper/src/rattanmill_keeper/keeper.py
+++ b/libs/keeper/src/rattanmill_keeper/keeper.py
@@ -1,4 +1,4 @@
-"""A storage instance: accounts of budgets and kept turns."""
+"""A storage instance: budget accounts and kept turns on its disk."""
 
 import asyncio
 import pathlib
@@ -89,39 +89,43 @@
 from rattanmill_keeper.turns import ChangeLog, HomeEntry, TurnTable
 from rattanmill_platform import KeyValue
 
-_PAGE = 500
+_PAGE_ENTRIES = 500
 _SWEEP_SECONDS = 1.0
 _FOLDER = "journal"
 
 
 class Keeper:
-    """Holds accounts and turns, and answers for them.
+    """Stores accounts and turns, and serves requests for them.
 
     Attributes:
         ledger: Accounts and homes.
         table: Turns.
-        whole: Whether it has all that its disk should hold. Until then it
-            opens no account, agrees to none and denies no turn.
-        leaving: Whether it is being emptied.
-        is_closed: Whether it takes nothing any more, as the others have all.
-        run: Id of this run of the process.
-        is_confirmed: Whether the others still count this instance.
-        unheard: Others that may have agreed to accounts without this instance
-            and have not told of them yet.
-        followed: Position up to which each other one has followed this run.
-        level_at: Loop time at which this one had last all that another one,
-            which was whole, had taken in.
-        alone_from: Seconds since 1970 from which it may grant alone to
-            programs that it has not heard of.
-        crashes: What fronts told of crashes.
-        may_open: Finds out whether an account may be opened here.
+        is_recovered: Whether it holds all data that its disk should hold.
+            Until then it opens no account, agrees to none and does not report
+            any turn as nonexistent.
+        is_decommissioning: Whether it is being decommissioned.
+        is_closed: Whether it confirms no writes any more because the other
+            instances already hold all of its data.
+        run: ID of this run of the process.
+        is_lease_valid: Returns whether the registration lease can't have
+            expired, so that the others still count this instance.
+        unsynced_peers: Instances that may have agreed to accounts without this
+            one and have not reported these accounts yet.
+        follower_positions: Position up to which each other instance has
+            followed this run, by name.
+        caught_up_at: Loop time at which this instance last held everything
+            that another, recovered instance had stored, by name.
+        alone_from: Unix time in seconds from which it may grant alone to
+            programs that it does not know.
+        crashes: Crashes reported by front ends.
+        may_open: Checks whether an account may be opened here.
 
     Args:
         name: Name of this instance.
         folder: Its data folder.
         first_start: Whether the whole system starts for the first time.
         members: The storage instances.
-        kv: The platform's store.
+        kv: The platform store.
         metrics: Counters.
     """
 
@@ -147,54 +151,59 @@
         self.run = uuid.uuid4().hex[:12]
         self.crashes = CrashLog(self.run)
         self.first_start = first_start
-        self.whole = first_start
-        # A disk that is new or was lost may have held what was granted alone.
+        self.is_recovered = first_start
+        # Grants made alone may have been lost with the previous disk.
         self.alone_from = 0.0 if first_start else float("inf")
-        self.is_confirmed: Callable[[], bool] = lambda: True
-        self.unheard: set[str] = set()
-        self.followed: dict[str, int] = {}
-        self.level_at: dict[str, float] = {}
-        self.leaving = False
+        self.is_lease_valid: Callable[[], bool] = lambda: True
+        self.unsynced_peers: set[str] = set()
+        self.follower_positions: dict[str, int] = {}
+        self.caught_up_at: dict[str, float] = {}
+        self.is_decommissioning = False
         self.is_closed = False
         self.may_open = request_consent
-        self.noted: set[str] = set()
-        self.sweeper: asyncio.Task | None = None
+        self.recorded_roster: set[str] = set()
+        self.sweep_task: asyncio.Task | None = None
 
     async def __aenter__(self) -> Self:
         self._restore()
         if not self.first_start:
-            # Its registration may have lapsed while it was down.
-            self.stop_to_count()
+            # Its registration may have expired while it was down.
+            self.mark_possibly_excluded()
         await self.journal.__aenter__()
         await self.mirrors.__aenter__()
-        if self.whole:
-            self.mark_whole()
-        self.sweeper = start_loop("sweep of turns", self._sweep_for_ever())
+        if self.is_recovered:
+            self.mark_recovered()
+        self.sweep_task = start_loop("expiry sweep", self._sweep_forever())
         return self
 
     async def __aexit__(self, *exc_info: object) -> None:
-        if self.sweeper:
-            self.sweeper.cancel()
+        if self.sweep_task:
+            self.sweep_task.cancel()
         await self.mirrors.__aexit__(*exc_info)
         await self.journal.__aexit__(*exc_info)
 
-    def mark_whole(self) -> None:
-        """Says, also on disk, that nothing is missing here."""
-        if not self.whole:
+    def mark_recovered(self) -> None:
+        """Records, also on disk, that no data is missing here."""
+        if not self.is_recovered:
             log_event("keeper_whole", turns=len(self.table.held))
             self.alone_from = wall_seconds() + ACCOUNT_TTL_SECONDS
-        self.whole = True
+        self.is_recovered = True
         write_marker(self.folder, CompletionMarker(self.alone_from))
 
     async def serve(self, message: msgspec.Struct) -> msgspec.Struct:
-        """Returns the answer to one request."""
+        """Returns the reply to one request."""
         reply = self.answer(message)
         return reply if isinstance(reply, msgspec.Struct) else await reply
 
     def answer(
         self, message: msgspec.Struct
     ) -> msgspec.Struct | Awaitable[msgspec.Struct]:
-        """Answers one request, at once if it needs neither disk nor others."""
+        """Handles one request.
+
+        Returns:
+            The reply, or an awaitable of it if the request needs the disk or
+            other instances.
+        """
         match message:
             case Reserve():
                 return self.reserve(message)
@@ -219,86 +228,89 @@
             case Lacking(turns=turns):
                 return Lacking(self.table.missing(turns))
             case Follow():
-                return self._news(message)
+                return self._changes_for(message)
             case Merge(accounts=accounts):
                 return self._merge(accounts)
             case Ping():
                 pong = self.crashes.answer(message)
-                pong.revision = self.members.changed
+                pong.revision = self.members.changed_revision
                 return pong
             case Crashed(notes=notes):
                 self.crashes.add(notes)
                 return Done()
             case StoreList() | StoreWatch():
                 return self.mirrors.serve(message)
-        return Unsure("not understood")
+        return Unsure("unknown request type")
 
     async def reserve(
-        self, ask: Reserve
+        self, request: Reserve
     ) -> Recorded | Full | Reserved | Unsure:
-        """Records a reservation, and answers once it is on disk."""
+        """Records a reservation and replies once it is on disk."""
         if self.is_closed:
-            return Unsure("emptied")
-        if ask.alone:
-            return await self._reserve_alone(ask)
-        if not self.whole:
-            return Unsure("not whole yet")
-        decision = self.ledger.reserve(ask)
+            return Unsure("already decommissioned")
+        if request.alone:
+            return await self._reserve_alone(request)
+        if not self.is_recovered:
+            return Unsure("the instance has not recovered yet")
+        decision = self.ledger.reserve(request)
         if not isinstance(decision, PendingRecord):
             return decision
-        self.intake.add(ask.program)
+        self.intake.add(request.program)
         if decision.account is not None:
-            self.intake.add(HomeEntry(ask.program))
+            self.intake.add(HomeEntry(request.program))
             self.journal.append_nowait(encode(decision.account))
         await self._append(decision.change)
         return decision.reply
 
-    async def _reserve_alone(self, ask: Reserve) -> Reserved | Full | Unsure:
-        may_begin = self.may_begin_share() and self.members.are_silent(
-            self.name
+    async def _reserve_alone(
+        self, request: Reserve
+    ) -> Reserved | Full | Unsure:
+        may_begin = (
+            self.may_create_share()
+            and self.members.are_others_unresponsive(self.name)
         )
-        decision = self.ledger.reserve_alone(ask, may_begin)
+        decision = self.ledger.reserve_alone(request, may_begin)
         if not isinstance(decision, ShareChange):
             return decision
-        self.intake.add(ask.program)
+        self.intake.add(request.program)
         await self._append(decision)
         return Reserved(decision.share.taken)
 
-    def may_begin_share(self) -> bool:
-        """Whether it may grant alone to programs that it has not heard of.
+    def may_create_share(self) -> bool:
+        """Whether it may grant alone to programs that it does not know.
 
-        Not where it may have done so on a disk that was lost since. Nor with
-        more than three storage instances: then the consent of others may
-        leave out several, and each would grant.
+        Not if it may have done so on a disk that was lost since. Nor with more
+        than three storage instances: several of them may be left out when the
+        others agree to an account, and each of these would grant.
         """
         roster = self.members.roster()
         return (
-            self.whole
-            and not self.leaving
+            self.is_recovered
+            and not self.is_decommissioning
             and wall_seconds() > self.alone_from
-            and self.is_confirmed()
-            and not self.unheard & roster
+            and self.is_lease_valid()
+            and not self.unsynced_peers & roster
             and len(roster | {self.name}) <= MAX_SHARERS
         )
 
-    def stop_to_count(self) -> None:
-        """Notes that this instance was perhaps not counted by the others.
+    def mark_possibly_excluded(self) -> None:
+        """Notes that the others may have stopped counting this instance.
 
-        Until each has told what they agreed to, it grants nothing alone to
-        programs that it has not heard of.
+        Until each of them has reported what it agreed to, this instance does
+        not grant alone to programs that it does not know.
         """
-        self.unheard = self.members.roster() - {self.name}
+        self.unsynced_peers = self.members.roster() - {self.name}
 
     async def give_back(self, program: str) -> GivenBack | Unsure:
-        """Grants no more alone; answers once that is on disk."""
+        """Stops granting alone to a program; replies once that is on disk."""
         if wall_seconds() < self.alone_from:
-            return Unsure("what was granted alone went with the disk")
+            return Unsure("grants made alone were lost with the disk")
         change = self.ledger.close_share(program)
         await self._append(change)
         return GivenBack(change.share.taken)
 
-    async def leave_shares(self) -> None:
-        """Returns when what this instance alone may grant is given back."""
+    async def close_shares(self) -> None:
+        """Gives back all that this instance may still grant alone."""
         changes = [
             change
             for program in self.ledger.accounts
@@ -307,12 +319,16 @@
         await asyncio.gather(*map(self._append, changes))
 
     def show(self, program: str) -> Shown | Unsure:
-        """Shows an account as it is known here."""
+        """Returns an account as it is known here."""
         account = self.ledger.accounts.get(program)
         return Shown(account) if account else Unsure("not held here")
 
     def merge(self, accounts: list[Account]) -> list[AccountChange]:
-        """Takes what other holders know; returns what has to be on disk."""
+        """Merges accounts from other holders.
+
+        Returns:
+            The changes that have to be written to disk.
+        """
         changes = [
             change
             for account in accounts
@@ -320,52 +336,52 @@
         ]
         for change in changes:
             self.intake.add(change.account.program)
-            # It may say other holders than were known here.
+            # Its holders may differ from those known here so far.
             self.intake.add(HomeEntry(change.account.program))
         return changes
 
     def fetch(self, turn: str) -> Chain:
         """Returns a turn and all that it continues, as far as held here."""
         chain = self.table.chain(turn)
-        chain.whole = self.whole
+        chain.whole = self.is_recovered
         if chain.missing:
             chain.unlisted = self.members.unlisted()
         return chain
 
-    def settle(self, said: Settle) -> Done:
+    def settle(self, request: Settle) -> Done:
         """Books what a turn has used."""
-        for change in self.ledger.settle(said):
+        for change in self.ledger.settle(request):
             self.journal.append_nowait(encode(change))
         return Done()
 
-    async def open(self, ask: Open) -> Opened | Elsewhere | Unsure | CutOff:
+    async def open(self, request: Open) -> Opened | Elsewhere | Unsure | CutOff:
         """Returns where an account is, and opens it if it has none."""
-        found = self.ledger.find(ask.program)
+        found = self.ledger.find(request.program)
         if not isinstance(found, OpenRequired):
             return found
-        if not self.whole:
-            return Unsure("not whole yet")
-        if self.leaving:
-            return Unsure("being emptied")
-        if ask.program in self.ledger.opening:
+        if not self.is_recovered:
+            return Unsure("the instance has not recovered yet")
+        if self.is_decommissioning:
+            return Unsure("the instance is being decommissioned")
+        if request.program in self.ledger.opening:
             return Unsure("the account is being opened")
-        self.ledger.opening.add(ask.program)
+        self.ledger.opening.add(request.program)
         try:
-            return await self._open(ask, found.holders)
+            return await self._open(request, found.holders)
         finally:
-            self.ledger.opening.discard(ask.program)
+            self.ledger.opening.discard(request.program)
 
     async def _open(
-        self, ask: Open, agreed_before: tuple[str, ...]
+        self, request: Open, agreed_before: tuple[str, ...]
     ) -> Opened | Elsewhere | Unsure | CutOff:
         """Opens an account at new holders, or at those agreed to before."""
-        program = ask.program
+        program = request.program
         holders = agreed_before or self.members.choose_holders(
             self.name, program
         )
-        # Its own consent is on disk as well before the account counts as
-        # open. Not known in memory yet: it would refuse another that opens
-        # the account at the same time, and both would give up.
+        # Its own consent must be on disk, too, before the account counts as
+        # open. It is not in memory yet: with it this instance would refuse
+        # another one that opens the account concurrently, and both would fail.
         home = HomeChange(Home(program, holders), wall_seconds())
         found, _ = await asyncio.gather(
             self.may_open(program, holders, self.ledger, self.members),
@@ -375,10 +391,11 @@
             found = await self._decide(home.home, found)
         if not isinstance(found, Consent):
             return found
-        # Whoever asked meanwhile was told that nothing is granted alone here.
+        # Any instance that asked in the meantime got the reply that nothing
+        # is granted alone here.
         is_old = bool(agreed_before) or program in self.ledger.homes
-        place = self._place(ask, holders, found, is_old)
-        change = self.ledger.open(Account(program, ask.budget, place))
+        place = self._place(request, holders, found, is_old)
+        change = self.ledger.open(Account(program, request.budget, place))
         if change is None:
             return self.ledger.find(program)
         self.ledger.homes[program] = home
@@ -411,72 +428,74 @@
 
     def _place(
         self,
-        ask: Open,
+        request: Open,
         holders: tuple[str, ...],
         consent: Consent,
         is_old: bool,
     ) -> Place:
-        """Finds out for whom a part of the budget has to be reserved."""
+        """Returns the place of an account, with the reserve for its sharers."""
         sharers = consent.with_share | consent.missing
-        if not sharers and not is_old and self.may_begin_share():
+        if not sharers and not is_old and self.may_create_share():
             sharers = frozenset([self.name])
-        # What callers allow beyond the budget is one turn, for all together.
+        # Callers allow one turn beyond the budget, for all instances together.
         granting = len(consent.with_share) + min(
             len(sharers - consent.with_share), 1
         )
-        most = granting * max_share(ask.budget, ask.tokens)
-        reserved = max(0, most - ask.tokens)
+        max_alone = granting * max_share(request.budget, request.tokens)
+        reserved = max(0, max_alone - request.tokens)
         return Place(holders, tuple(sorted(sharers)), reserved)
 
-    async def _agree(self, ask: Agree) -> Agreed | Refused | Unsure:
-        if not self.whole:
-            return Unsure("not whole yet")
-        if self.leaving:
-            return Unsure("being emptied")
+    async def _agree(self, request: Agree) -> Agreed | Refused | Unsure:
+        if not self.is_recovered:
+            return Unsure("the instance has not recovered yet")
+        if self.is_decommissioning:
+            return Unsure("the instance is being decommissioned")
         roster = self.members.roster()
-        if not roster <= set(ask.roster):
+        if not roster <= set(request.roster):
             return Outdated(sorted(roster))
-        unknown = set(ask.roster) - roster
+        unknown = set(request.roster) - roster
         if unknown:
-            self.members.seen.update(dict.fromkeys(unknown, wall_seconds()))
-        decision = self.ledger.agree(ask)
+            self.members.last_seen.update(
+                dict.fromkeys(unknown, wall_seconds())
+            )
+        decision = self.ledger.agree(request)
         if isinstance(decision, Refused):
             return decision
         if decision is not None:
             await self.write_home(decision)
-        return Agreed(ask.program in self.ledger.shares)
+        return Agreed(request.program in self.ledger.shares)
 
     async def write_home(self, change: HomeChange) -> None:
-        """Writes down where an account is, for the journal and followers."""
+        """Writes an account's home to the journal and for followers."""
         self.intake.add(HomeEntry(change.home.program))
         await self._append(change)
 
     async def _append(self, record: Record) -> int:
         return await self.journal.append(encode(record))
 
-    async def _settle(self, said: Settle) -> Done:
-        """Books in its turn: the reservation may have been sent just before."""
-        return self.settle(said)
+    async def _settle(self, request: Settle) -> Done:
+        """Books in order: the reservation may have been sent just before."""
+        return self.settle(request)
 
     async def _keep(self, kept: KeptTurn) -> Done | Unsure:
         await self.keep(kept)
-        return Unsure("emptied") if self.is_closed else Done()
+        return Unsure("already decommissioned") if self.is_closed else Done()
 
     async def keep(self, kept: KeptTurn) -> None:
-        """Takes a turn in and returns when it is on disk."""
+        """Stores a turn and returns when it is on disk."""
         segment = await self._append(kept)
         if self.table.add(kept, segment):
             self.intake.add(kept.turn)
 
-    def _news(self, ask: Follow) -> News:
-        self.members.meet(ask.asker, ask.asker_run)
-        after = ask.after if ask.run == self.run else 0
-        self.followed[ask.asker] = after
-        entries = self.intake.since(after, _PAGE)
+    def _changes_for(self, request: Follow) -> News:
+        self.members.record_seen(request.asker, request.asker_run)
+        after = request.after if request.run == self.run else 0
+        self.follower_positions[request.asker] = after
+        entries = self.intake.since(after, _PAGE_ENTRIES)
         accounts: list[AccountRef] = []
         homes: list[Home] = []
         turns: list[TurnRef] = []
-        # In one pass: each of the others asks for all of it.
+        # A single pass, since every other instance requests all entries.
         for _, entry in entries:
             if isinstance(entry, HomeEntry):
                 if holders := self.ledger.holders_of(entry.program):
@@ -485,7 +504,7 @@
             if held := self.table.held.get(entry):
                 turns.append(TurnRef(entry, held.kept.key))
             account = self.ledger.accounts.get(entry)
-            if account and ask.asker in account.place.holders:
+            if account and request.asker in account.place.holders:
                 accounts.append(self.ledger.ref(account))
         position = entries[-1][0] if entries else self.intake.position
         return News(
@@ -494,42 +513,44 @@
             turns,
             homes,
             accounts,
-            self.whole,
+            self.is_recovered,
             position < self.intake.position,
-            self.members.changed,
-            ask.asker in self.members.known,
-            self._absent_for(ask),
+            self.members.changed_revision,
+            request.asker in self.members.known,
+            self._absent_for(request),
         )
 
-    def _absent_for(self, ask: Follow) -> list[str]:
-        """Returns who may have what an asker has lost with its disk.
+    def _absent_for(self, request: Follow) -> list[str]:
+        """Returns absent members that may hold what an asker's disk has lost.
 
-        Not those that went before this instance had all that the asker had.
+        Members that left before this instance held everything that the asker
+        held are not among them.
         """
-        if self.members.is_new(ask.asker, ask.asker_run):
+        if self.members.is_first_run(request.asker, request.asker_run):
             return []
-        level_at = self.level_at.get(ask.asker, float("-inf"))
+        caught_up_at = self.caught_up_at.get(request.asker, float("-inf"))
         lost_at = self.members.lost_at
         return [
             name
             for name in self.members.unlisted()
-            if name != ask.asker and lost_at.get(name, float("inf")) >= level_at
+            if name != request.asker
+            and lost_at.get(name, float("inf")) >= caught_up_at
         ]
 
     async def _merge(self, accounts: list[Account]) -> Done | Unsure:
-        if not self.whole or self.is_closed:
-            return Unsure("not whole, or emptied")
-        await self.take_accounts(accounts)
+        if not self.is_recovered or self.is_closed:
+            return Unsure("not recovered yet, or already decommissioned")
+        await self.persist_accounts(accounts)
         return Done()
 
-    async def take_accounts(self, accounts: list[Account]) -> None:
-        """Returns when what other holders know is on disk here."""
+    async def persist_accounts(self, accounts: list[Account]) -> None:
+        """Merges accounts from other holders and writes them to disk."""
         await asyncio.gather(*map(self._append, self.merge(accounts)))
 
     def _restore(self) -> None:
         mark = read_marker(self.folder)
         if mark is not None:
-            self.whole = True
+            self.is_recovered = True
             self.alone_from = mark.alone_from
         records = 0
         for stored in self.journal.read():
@@ -537,7 +558,7 @@
             if isinstance(record, KeptTurn):
                 self.table.add(record, stored.segment)
             elif isinstance(record, RosterChange):
-                self.members.recall(record.seen)
+                self.members.restore_seen(record.seen)
             elif record is not None:
                 self.ledger.restore(record)
             records += 1
@@ -551,7 +572,7 @@
             turns=len(self.table.held),
             accounts=len(self.ledger.accounts),
             homes=len(self.ledger.homes),
-            whole=self.whole,
+            whole=self.is_recovered,
         )
 
     def _snapshot(self) -> list[bytes]:
@@ -560,42 +581,46 @@
 
     def _roster(self) -> RosterChange:
         members = self.members
-        gone = members.emptied - members.known.keys()
+        gone = members.decommissioned - members.known.keys()
         return RosterChange(
-            {name: at for name, at in members.seen.items() if name not in gone}
+            {
+                name: at
+                for name, at in members.last_seen.items()
+                if name not in gone
+            }
         )
 
-    def _note_roster(self) -> None:
-        """Writes down who there is, for the time after a restart."""
+    def _record_roster(self) -> None:
+        """Writes the roster to the journal, to be read after a restart."""
         names = self.members.roster()
-        if names != self.noted:
-            self.noted = names
+        if names != self.recorded_roster:
+            self.recorded_roster = names
             self.journal.append_nowait(encode(self._roster()))
             self.journal.wake.set()
 
-    async def _sweep_for_ever(self) -> None:
+    async def _sweep_forever(self) -> None:
         while True:
             await asyncio.sleep(_SWEEP_SECONDS)
             self.sweep()
 
     def sweep(self) -> None:
-        """Drops what is over, in memory and on disk."""
+        """Removes expired data from memory and disk."""
         for turn in self.table.expire():
             self.intake.remove(turn)
         for program in self.ledger.expire():
             self.intake.remove(program)
             self.intake.remove(HomeEntry(program))
         self._drop_segments()
-        self._note_roster()
+        self._record_roster()
 
     def _drop_segments(self) -> None:
-        """Removes segments whose turns are over.
+        """Removes journal segments whose turns have all expired.
 
-        Accounts and homes of a segment stand again at the start of the next.
+        Accounts and homes of a segment are repeated at the start of the next.
         """
         numbers = self.journal.segments()
         needed = self.table.segments()
-        # The newest two stay: the snapshot of the newest may not be synced.
+        # Keeps the newest two: the snapshot in the newest may not be synced.
         for number in numbers[:-2]:
             if number not in needed:
                 self.journal.drop_segment(number)
--- a/libs/keeper/src/rattanmill_keeper/lookup.py
+++ b/libs/keeper/src/rattanmill_keeper/lookup.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from rattanmill_core import log_event, loop_seconds
-from rattanmill_keeper.members import HELD_SECONDS, Member
+from rattanmill_keeper.members import TURN_HOLDER_SECONDS, Member
 from rattanmill_keeper.messages import (
     Chain,
     Done,
@@ -16,7 +16,7 @@
     KeptTurn,
     Unsure,
 )
-from rattanmill_keeper.reach import Reach
+from rattanmill_keeper.reach import Reachability
 
 _KEEP_TIMEOUT_SECONDS = 0.4
 _FETCH_TIMEOUT_SECONDS = 0.3
@@ -99,7 +99,7 @@
         copies: Number of failure domains in which a turn must be on disk.
     """
 
-    def __init__(self, reach: Reach, copies: int) -> None:
+    def __init__(self, reach: Reachability, copies: int) -> None:
         self.reach = reach
         self.copies = copies
         self.cache = TurnCache()
@@ -184,7 +184,7 @@
             why=gap.uncertainty,
             keepers=sorted(members.known),
             revision=members.watch.revision,
-            heard_s=round(members.store_silence(), 3),
+            heard_s=round(members.store_silence_seconds(), 3),
         )
 
     async def _has_other_members(
@@ -267,8 +267,8 @@
                 m.domain != self.reach.domain,
             ),
         )
-        responsive = [m for m in members if not self.reach.is_away(m)]
-        unresponsive = [m for m in members if self.reach.is_away(m)]
+        responsive = [m for m in members if not self.reach.is_unresponsive(m)]
+        unresponsive = [m for m in members if self.reach.is_unresponsive(m)]
         return [
             group
             for group in (responsive[:1], responsive[1:], unresponsive)
@@ -278,9 +278,9 @@
     def _lost_instances_reason(self, gap: Gap) -> str:
         """Names the unlisted instances that may have a turn."""
         members = self.reach.members
-        oldest = loop_seconds() - HELD_SECONDS
+        oldest = loop_seconds() - TURN_HOLDER_SECONDS
         lost = {name for name, at in members.lost_at.items() if at > oldest}
-        lost |= gap.unlisted - members.known.keys() - members.emptied
+        lost |= gap.unlisted - members.known.keys() - members.decommissioned
         return f"{', '.join(sorted(lost))} may have the turn" if lost else ""
 
 
--- a/libs/keeper/src/rattanmill_keeper/permits.py
+++ b/libs/keeper/src/rattanmill_keeper/permits.py
@@ -30,7 +30,7 @@
     Spent,
     Unsure,
 )
-from rattanmill_keeper.reach import Reach
+from rattanmill_keeper.reach import Reachability
 
 # An instance that opens an account asks the others (up to 0.15 s) and possibly
 # the platform store (0.3 s).
@@ -72,7 +72,7 @@
         reach: Links to the storage instances.
     """
 
-    def __init__(self, reach: Reach) -> None:
+    def __init__(self, reach: Reachability) -> None:
         self.reach = reach
         self.opened: collections.OrderedDict[str, Opened] = (
             collections.OrderedDict()
@@ -117,7 +117,7 @@
     async def _settle(self, settlement: Settle, name: str) -> None:
         for _ in range(_MAX_SETTLE_TRIES):
             member = self.reach.members.known.get(name)
-            if member and not self.reach.is_away(member):
+            if member and not self.reach.is_unresponsive(member):
                 reply = await self.reach.ask(
                     member, settlement, _SETTLE_TIMEOUT_SECONDS
                 )
@@ -194,7 +194,7 @@
         return sorted(
             (members[name] for name in names if name in members),
             key=lambda member: (
-                self.reach.is_away(member),
+                self.reach.is_unresponsive(member),
                 member.domain != self.reach.domain,
                 order.index(member.name),
             ),
@@ -209,7 +209,7 @@
             # Once another member was asked, unresponsive ones are skipped.
             # Waiting for them would only delay the reply, by a second during
             # a partition.
-            is_late = bool(asked) and self.reach.is_away(member)
+            is_late = bool(asked) and self.reach.is_unresponsive(member)
             if member.name not in asked and not is_late:
                 return member
         queue.clear()
@@ -305,7 +305,7 @@
             for member in self.reach.members.known.values()
             if member.domain == self.reach.domain
         ]
-        return [m for m in members if not self.reach.is_away(m)]
+        return [m for m in members if not self.reach.is_unresponsive(m)]
 
     async def _reconcile(
         self, request: Reserve, place: Place
--- a/tests/features/review.feature
+++ b/tests/features/review.feature
@@ -66,10 +66,10 @@
     a while. It would grant alone what they have granted without it.
 
     Given storage instances "a, b, c"
-    When "c" is cut off from "a, b", and its registration has lapsed for long
+    When "c" is partitioned from "a, b", and its registration expired long ago
     And turns of a new program use up its budget at "a"
     And "c" crashes and restarts
-    And "c" is listed again while it is cut off
+    And "c" is listed again while it is partitioned
     Then the program's turns at "a, c" stay within its budget and one turn
 
   Scenario: A caller disconnects while the member list is read for others as well
@@ -101,6 +101,6 @@
     Front ends suspect that a domain is cut off if its storage instances and
     its endpoints are silent for 0.4 s. One dead instance must not cause that.
 
-    Given a front and 12 storage instances in 4 failure domains
-    When one of them dies, 200 times at moments of its own
+    Given a front end and 12 storage instances in 4 failure domains
+    When one of them dies, 200 times at random moments
     Then no domain was silent for long enough to be suspected
--- a/tests/features/steps/keeping_cut.py
+++ b/tests/features/steps/keeping_cut.py
@@ -7,7 +7,7 @@
 from rattanmill_core import Metrics
 from rattanmill_keeper import KeeperClient, Member, Members
 from rattanmill_keeper.messages import Reserve, Unsure
-from support.keepers import AwayKv
+from support.keepers import UnavailableKv
 from support.virtual import run_virtually
 
 _DOMAINS = ("east", "west", "north")
@@ -53,7 +53,7 @@
     ' "{near}"'
 )
 def step_front(context, domain, near):
-    context.kv = AwayKv()
+    context.kv = UnavailableKv()
 
     def make():
         members = CutMembers(context.kv, near)
@@ -64,12 +64,12 @@
 
 @when("the store does not reply")
 def step_store_away(context):
-    context.kv.away = True
+    context.kv.is_unavailable = True
 
 
 @when("the store replies")
 def step_store_there(context):
-    context.kv.away = False
+    context.kv.is_unavailable = False
 
 
 async def pinging_client(context):
@@ -77,7 +77,7 @@
     client = context.make_client()
     # All instances responded before the partition.
     now = asyncio.get_running_loop().time()
-    client.reach.heard = dict.fromkeys(_DOMAINS, now)
+    client.reach.answered_at = dict.fromkeys(_DOMAINS, now)
     pings = asyncio.create_task(client.reach.ping_for_ever())
     await asyncio.sleep(_PING_PERIOD_SECONDS)
     pings.cancel()
--- a/tests/features/steps/keeping_turns.py
+++ b/tests/features/steps/keeping_turns.py
@@ -86,7 +86,7 @@
 def step_many_two_lost(context, count):
     step_instances_in_domains(context, count, 3)
     for members in context.network.members.values():
-        members.lost_disks = 2
+        members.tolerated_disk_losses = 2
 
 
 def continue_conversation(context, count):
--- a/tests/features/steps/lookups.py
+++ b/tests/features/steps/lookups.py
@@ -9,7 +9,7 @@
 
 from rattanmill_core import wall_seconds
 from rattanmill_keeper import KeptTurn, NoSuchTurn, Reserve, Unsure, members
-from rattanmill_keeper.emptying import Emptying, EmptyingOrders
+from rattanmill_keeper.emptying import Decommission, DecommissionKeys
 from support.keepers import run_in as network
 
 
@@ -59,7 +59,7 @@
 
 @when("the store of these storage instances is unreachable")
 def step_store_away(context):
-    context.network.kv.away = True
+    context.network.kv.is_unavailable = True
 
 
 @when("the store loses its history")
@@ -112,15 +112,15 @@
 
 async def decommission(n, name):
     """Decommissions an instance as an order does, up to the confirmation."""
-    emptying = Emptying(
+    emptying = Decommission(
         n.keepers[name],
         n.members[name],
         None,
         n.kv,
-        EmptyingOrders("", "", b"", b""),
+        DecommissionKeys("", "", b"", b""),
     )
-    n.keepers[name].leaving = True
-    await emptying.hand_over_all()
+    n.keepers[name].is_decommissioning = True
+    await emptying.transfer_all()
 
 
 @when('"{name}" is decommissioned')
@@ -154,7 +154,7 @@
     front = n.front(name)
     theirs = n.members[name]
     front.reach.members.lost_at = dict(theirs.lost_at)
-    front.reach.members.emptied = set(theirs.emptied)
+    front.reach.members.decommissioned = set(theirs.decommissioned)
     return front
 
 
--- a/tests/features/steps/review.py
+++ b/tests/features/steps/review.py
@@ -77,7 +77,7 @@
     for name, other in itertools.product(names.split(", "), others.split(", ")):
         members = context.network.members[name]
         members.known.pop(other, None)
-        members.seen.pop(other, None)
+        members.last_seen.pop(other, None)
 
 
 @when('"{names}" are partitioned from "{others}"')
--- a/tests/support/opening.py
+++ b/tests/support/opening.py
@@ -19,7 +19,7 @@
 from rattanmill_keeper.homes import HOME_PREFIX
 from rattanmill_keeper.messages import Elsewhere, Open, Opened, Recorded, codec
 from rattanmill_platform import Unavailable
-from support.keepers import AwayKv, LocalLink, LocalMembers, Network
+from support.keepers import LocalLink, LocalMembers, Network, UnavailableKv
 
 _CODEC = codec()
 # More than all turns of a sequence reserve together.
@@ -53,7 +53,7 @@
 )
 
 
-class LateKv(AwayKv):
+class LateKv(UnavailableKv):
     """A store whose replies are late or lost, and which may write late."""
 
     def __init__(self, rng: random.Random) -> None:
@@ -64,14 +64,16 @@
 
     async def read(self, key: str):  # noqa: ANN201
         """Reads one key, possibly without a reply."""
-        return await self._with_faults(key, lambda: AwayKv.read(self, key))
+        return await self._with_faults(
+            key, lambda: UnavailableKv.read(self, key)
+        )
 
     async def write(  # noqa: ANN201
         self, key: str, value: bytes, expect: int, lease: str = ""
     ):
         """Writes, possibly late, if the condition holds at that time."""
         return await self._with_faults(
-            key, lambda: AwayKv.write(self, key, value, expect, lease)
+            key, lambda: UnavailableKv.write(self, key, value, expect, lease)
         )
 
     async def _with_faults(
@@ -202,7 +204,7 @@
     def new_members(self, name: str) -> LossyMembers:
         """Returns members whose messages may be late or lost."""
         members = LossyMembers(self, name)
-        members.lost_disks = self.lost_disks
+        members.tolerated_disk_losses = self.lost_disks
         return members
 
     def new_disk(self) -> concurrent.futures.Executor:
--- a/tests/support/stories.py
+++ b/tests/support/stories.py
@@ -126,7 +126,7 @@
         """
         keepers = self.network.keepers
         all_run = len(keepers) == len(self.network.names)
-        all_whole = all(k.whole for k in keepers.values())
+        all_whole = all(k.is_recovered for k in keepers.values())
         if name in keepers and all_run and all_whole:
             await self.network.wipe(name)
             await self.network.start(name)
@@ -136,7 +136,7 @@
         network = self.network
         if len(network.names) > len(NAMES) or name not in network.keepers:
             return
-        if not all(k.whole for k in network.keepers.values()):
+        if not all(k.is_recovered for k in network.keepers.values()):
             return
         if len(network.keepers) < len(network.names):
             return
