--- a/tests/features/steps/keeping_cut.py
+++ b/tests/features/steps/keeping_cut.py
@@ -78,7 +78,7 @@
     # All instances responded before the partition.
     now = asyncio.get_running_loop().time()
     client.reach.answered_at = dict.fromkeys(_DOMAINS, now)
-    pings = asyncio.create_task(client.reach.ping_for_ever())
+    pings = asyncio.create_task(client.reach.ping_forever())
     await asyncio.sleep(_PING_PERIOD_SECONDS)
     pings.cancel()
     return client
--- a/tests/features/steps/review.py
+++ b/tests/features/steps/review.py
@@ -206,7 +206,7 @@
         late = Members(kv)
         await late.catch_up()
         kv.list_calls = 0
-        early.hear_of(late.changed)
+        early.expect_revision(late.changed_revision)
         await asyncio.sleep(_PAUSE_SECONDS)
         return kv.list_calls
 
--- a/tests/support/stories.py
+++ b/tests/support/stories.py
@@ -164,7 +164,7 @@
 
     async def set_store_unreachable(self, unreachable: bool) -> None:
         """Makes the store unreachable or reachable."""
-        self.network.kv.away = unreachable
+        self.network.kv.is_unavailable = unreachable
 
     async def drop_replies(self, count: int) -> None:
         """Drops the next replies between storage instances."""
