--- a/libs/entry/src/rattanmill_entry/answers.py
+++ b/libs/entry/src/rattanmill_entry/answers.py
@@ -1,4 +1,4 @@
-"""Answers to chat calls in both forms: one JSON body, or a stream of events."""
+"""Encodes answers to chat calls: as one JSON body or as a stream of events."""
 
 import time
 
@@ -10,8 +10,8 @@
 DONE_EVENT = b"data: [DONE]\n\n"
 
 
-class Answer:
-    """Collects an answer's parts into one message."""
+class AnswerBuilder:
+    """Joins the parts of an answer into one message."""
 
     def __init__(self) -> None:
         self.fields: dict = {"role": "assistant", "content": ""}
@@ -31,7 +31,7 @@
                 self.fields[name] = value
 
     def _add_tool_call(self, part: dict) -> None:
-        """Joins a tool call whose arguments arrive in pieces."""
+        """Appends a part of a tool call, whose arguments arrive in pieces."""
         call = self.tool_calls.setdefault(
             part.get("index", 0),
             {"type": "function", "function": {"name": "", "arguments": ""}},
@@ -72,12 +72,12 @@
         model: Model that answered.
         message: JSON of the answer's message.
         end: Finish reason and usage.
-        extra: What rattanmill adds, such as a receipt.
+        extra: Fields that rattanmill adds, such as a receipt.
     """
     choice = {
         "index": 0,
         "message": msgspec.Raw(message),
-        "finish_reason": end.finish,
+        "finish_reason": end.finish_reason,
     }
     body = {
         "id": f"chatcmpl-{call}",
@@ -105,12 +105,12 @@
     last: dict = {"choices": [], "usage": _usage(end.usage)}
     if extra:
         last["rattanmill"] = extra
-    finish = chunk_event(call, model, {}, end.finish)
+    finish = chunk_event(call, model, {}, end.finish_reason)
     return finish + _event(call, model, last) + DONE_EVENT
 
 
 def error_event(problem: bytes) -> bytes:
-    """Returns the event that ends a stream whose answer is not whole."""
+    """Returns the event that ends the stream of an incomplete answer."""
     return b'data: {"error":' + problem + b"}\n\n"
 
 
--- a/libs/entry/src/rattanmill_entry/ownership.py
+++ b/libs/entry/src/rattanmill_entry/ownership.py
@@ -1,4 +1,4 @@
-"""Which shards this instance owns: claims, takeovers and handovers."""
+"""Shard ownership of this instance: claims, takeovers and handovers."""
 
 import asyncio
 import random
@@ -10,7 +10,7 @@
 from rattanmill_entry.members import living_instances, share
 from rattanmill_entry.node import Node
 from rattanmill_entry.owners import (
-    NOBODY,
+    NO_OWNER,
     read_owners,
     write_owners,
 )
@@ -34,17 +34,22 @@
 )
 
 _log = part_logger("owner")
-_ROUND_SECONDS = 0.25
-_BROKEN_PAUSE_SECONDS = 30.0
-_TIDY_SECONDS = 5.0
+_RECONCILE_INTERVAL_SECONDS = 0.25
+_BROKEN_LOG_RETRY_SECONDS = 30.0
+_MAINTENANCE_INTERVAL_SECONDS = 5.0
 
 
 class Ownership:
-    """Keeps this instance's shards in step with the domain's owners.
+    """Reconciles this instance's shards with the owners of its domain.
 
     Attributes:
+        node: The daemon's context.
+        domain: Failure domain of this instance.
+        wake: Set to reconcile at once.
+        tasks: Background tasks.
         handover: Moves shards to other instances.
-        not_before: When a shard whose log is broken is tried again.
+        retry_at: Monotonic time at which a shard whose log is broken is
+            loaded again, by failure domain and number.
     """
 
     def __init__(self, node: Node) -> None:
@@ -52,13 +57,13 @@
         self.domain = node.settings.domain
         self.wake = asyncio.Event()
         self.tasks: list[asyncio.Task] = []
-        self.handover = Handover(node, self.note)
-        self.not_before: dict[tuple[str, int], float] = {}
+        self.handover = Handover(node, self.record_owners)
+        self.retry_at: dict[tuple[str, int], float] = {}
 
     async def __aenter__(self) -> Self:
         self.tasks = [
             self.node.run_beside(self._run()),
-            self.node.run_beside(self._tidy_for_ever()),
+            self.node.run_beside(self._run_maintenance()),
         ]
         return self
 
@@ -69,45 +74,47 @@
     async def _run(self) -> None:
         while True:
             try:
-                await asyncio.wait_for(self.wake.wait(), _ROUND_SECONDS)
+                await asyncio.wait_for(
+                    self.wake.wait(), _RECONCILE_INTERVAL_SECONDS
+                )
             except TimeoutError:
                 pass
             self.wake.clear()
             try:
-                await self.step()
+                await self.reconcile()
             except Exception as error:
                 raise InvariantError(
-                    f"Shards cannot be kept: {error!r}"
+                    f"Shards cannot be reconciled: {error!r}"
                 ) from error
 
-    async def step(self) -> None:
-        """Drops what is lost, loads what is ours, claims what is free."""
+    async def reconcile(self) -> None:
+        """Drops lost shards, loads owned ones and claims free ones."""
         node = self.node
         self._drop_lost()
         if not node.live.synced or not node.config.domains:
             return
-        if node.lease.interrupted or self.handover.unsure:
-            await self._confirm()
+        if node.lease.interrupted or self.handover.write_uncertain:
+            await self._confirm_ownership()
         if (
             not node.lease.holds()
             or node.lease.outage()
-            or self.handover.unsure
+            or self.handover.write_uncertain
         ):
             return
         owners = node.live.shards.get(self.domain)
         if node.draining:
-            await self.handover.return_given(owners)
+            await self.handover.forward_received(owners)
             return
         self._learn_addresses(owners)
         await self._load_owned(owners)
-        self._note_suspects(owners)
-        await self._claim(owners)
-        self.handover.balance(owners)
+        self._update_suspects(owners)
+        await self._claim_free_shards(owners)
+        self.handover.rebalance(owners)
 
-    def _mine(self, owner: ShardOwner) -> bool:
+    def _is_own(self, owner: ShardOwner) -> bool:
         return owner.incarnation == self.node.incarnation
 
-    def _me(self) -> ShardOwner:
+    def _own_record(self) -> ShardOwner:
         settings = self.node.settings
         return ShardOwner(
             settings.name, self.node.incarnation, 0, settings.peer
@@ -115,14 +122,14 @@
 
     def _is_lost(self, shard: Shard, owners: DomainShards) -> bool:
         owner = owners.shards[shard.number]
-        return not self._mine(owner) or owner.epoch != shard.epoch
+        return not self._is_own(owner) or owner.epoch != shard.epoch
 
     def _drop_lost(self) -> None:
         owners = self.node.live.shards.get(self.domain)
         for shard in list(self.node.shards.values()):
-            # A view older than our claim does not count.
-            newer = owners is not None and owners.epoch >= shard.epoch
-            lost = newer and self._is_lost(shard, owners)
+            # A view older than this instance's claim proves no loss.
+            view_is_newer = owners is not None and owners.epoch >= shard.epoch
+            lost = view_is_newer and self._is_lost(shard, owners)
             if lost or shard.log.fenced:
                 self._drop(shard)
 
@@ -131,49 +138,55 @@
         shard.log.stop()
         _log.warning("Shard {}.{} lost.", *shard.log.name)
 
-    async def _confirm(self) -> None:
-        """Makes sure of our shards after they could have been taken.
+    async def _confirm_ownership(self) -> None:
+        """Confirms ownership after others may have taken the shards.
 
-        An instance that was paused gets a new lease before it hears that it
-        was replaced. If the service went silent in between, it would go on
-        for the whole outage, beside the new owner. So it reads the owners,
-        and writes them: a taker who judged us dead before finds its
-        compare-and-swap refused.
+        An instance that was paused gets a new lease before it learns that it
+        was replaced. If the key-value service failed in between, it would
+        serve its shards for the whole outage, beside the new owner. So it
+        reads the owners and writes them back: the compare-and-swap of an
+        instance that considered this one dead before then fails.
         """
         node = self.node
         if not node.lease.valid():
             return
         interruption = node.lease.interruptions
-        stored = await read_owners(node.kv, self.domain, self._count(None))
+        stored = await read_owners(
+            node.kv, self.domain, self._shard_count(None)
+        )
         if isinstance(stored, Unavailable):
             return
-        parting = [each.shard for each in node.parting.values()]
-        held = [*node.shards.values(), *parting]
+        moving_shards = [each.shard for each in node.parting.values()]
+        held = [*node.shards.values(), *moving_shards]
         for shard in held:
             if self._is_lost(shard, stored.owners):
                 self._drop(shard)
-        if any(not shard.log.fenced for shard in held) or self.handover.unsure:
+        if (
+            any(not shard.log.fenced for shard in held)
+            or self.handover.write_uncertain
+        ):
             changed = await write_owners(node.kv, self.domain, stored, {})
             if not isinstance(changed, DomainShards):
                 return
-            self.note(changed)
-        self.handover.unsure = False
+            self.record_owners(changed)
+        self.handover.write_uncertain = False
         if node.lease.confirm(interruption):
             _log.info("Ownership confirmed.")
 
-    def note(self, changed: DomainShards) -> None:
-        """Takes owners that were stored into the view, ahead of the watch."""
+    def record_owners(self, changed: DomainShards) -> None:
+        """Updates the live view with stored owners before the watch does."""
         known = self.node.live.shards.get(self.domain)
         if known is None or changed.epoch > known.epoch:
             self.node.live.shards[self.domain] = changed
         self.wake.set()
 
     def _learn_addresses(self, owners: DomainShards | None) -> None:
-        """Gets to know owners whose records are gone from the service.
+        """Learns the addresses of owners that have no instance record.
 
-        An owner that is cut off from the service goes on serving as long as
-        its peers hear it. An instance that has just started never saw its
-        record; it must ask at the address before it may judge it dead.
+        An owner that is cut off from the key-value service continues to serve
+        as long as its peers receive its heartbeats. An instance that has just
+        started never read its record, and must send it heartbeats before it
+        may consider it dead.
         """
         for owner in owners.shards if owners else ():
             if owner.owner and owner.owner not in self.node.addresses:
@@ -189,23 +202,23 @@
     async def _load_owned(self, owners: DomainShards | None) -> None:
         for number, owner in enumerate(owners.shards if owners else []):
             key = (self.domain, number)
-            here = key in self.node.shards or key in self.node.parting
-            paused = time.monotonic() < self.not_before.get(key, 0.0)
-            if self._mine(owner) and not here and not paused:
+            is_local = key in self.node.shards or key in self.node.parting
+            retry_pending = time.monotonic() < self.retry_at.get(key, 0.0)
+            if self._is_own(owner) and not is_local and not retry_pending:
                 await self._load(number, owner.epoch)
 
     async def _load(self, number: int, epoch: int) -> None:
         node = self.node
-        began = time.monotonic()
+        started_at = time.monotonic()
         interruptions = node.lease.interruptions
         recovered = await recover(
             node.kv, self.domain, number, epoch, node.settings.name
         )
         if not isinstance(recovered, Recovered):
-            self._note_unloaded(number, recovered)
+            self._report_unloaded(number, recovered)
             return
         if interruptions != node.lease.interruptions or not node.lease.holds():
-            # What was read before a pause may have another owner by now.
+            # A shard read before a pause may have another owner by now.
             return
         log = ShardLog(
             node.kv,
@@ -219,7 +232,7 @@
         node.shards[self.domain, number] = Shard(
             self.domain, number, epoch, recovered.programs, log
         )
-        seconds = time.monotonic() - began
+        seconds = time.monotonic() - started_at
         node.metrics.observe("rattanmill_shard_load_seconds", seconds)
         _log.info(
             "Shard {}.{} loaded at epoch {}, {} programs.",
@@ -229,22 +242,24 @@
             len(recovered.programs),
         )
 
-    def _note_unloaded(
-        self, number: int, why: Unavailable | Fenced | Broken
+    def _report_unloaded(
+        self, number: int, failure: Unavailable | Fenced | Broken
     ) -> None:
-        if not isinstance(why, Broken):
-            _log.warning("Shard {}.{} not recovered.", self.domain, number)
+        if not isinstance(failure, Broken):
+            _log.warning("Shard {}.{} not loaded.", self.domain, number)
             return
-        # The other shards must not suffer from one log that is wrong.
-        _log.error("Shard {}.{} is broken: {}", self.domain, number, why.why)
+        # One broken log must not affect the other shards.
+        _log.error(
+            "Shard {}.{} is broken: {}", self.domain, number, failure.why
+        )
         self.node.metrics.count("rattanmill_shards_broken")
-        again = time.monotonic() + _BROKEN_PAUSE_SECONDS
-        self.not_before[self.domain, number] = again
+        retry_at = time.monotonic() + _BROKEN_LOG_RETRY_SECONDS
+        self.retry_at[self.domain, number] = retry_at
 
-    def _count(self, owners: DomainShards | None) -> int:
+    def _shard_count(self, owners: DomainShards | None) -> int:
         """Number of shards; fixed when the owners are first written.
 
-        Programs' ids and the place of acts without a program depend on it.
+        Programs' ids and the shards of acts without a program depend on it.
         """
         if owners:
             return len(owners.shards)
@@ -252,11 +267,15 @@
         return plan.shards if plan else 0
 
     def _is_free(self, owner: ShardOwner, living: dict[str, str]) -> bool:
-        """Whether a shard's owner is gone for certain.
+        """Whether a shard has no owner, or its owner is certainly gone.
+
+        The owner's lease must have expired, and it must have been silent on
+        the peer link as well: an owner that is cut off from the key-value
+        service continues to serve as long as its peers receive its heartbeats.
 
-        The service must have seen its lease lapse, and it must have been
-        silent on the peer link, too: an owner cut off from the service goes
-        on serving as long as its peers hear it.
+        Args:
+            owner: Stored owner of the shard.
+            living: Incarnations of the instances with a lease, by name.
         """
         if not owner.owner:
             return True
@@ -264,40 +283,46 @@
             return False
         if owner.owner in living:
             return True
-        return self._silent_for(owner.owner) > self.node.lease.silence_seconds
+        return (
+            self._unanswered_seconds(owner.owner)
+            > self.node.lease.silence_seconds
+        )
 
-    def _silent_for(self, name: str) -> float:
-        """Seconds for which an owner has left heartbeats unanswered.
+    def _unanswered_seconds(self, name: str) -> float:
+        """Seconds for which an owner has not answered heartbeats.
 
-        Counted from when we began to send it some: an owner that is cut off
-        from the service does not know us if we are new, but it answers.
+        Counted from the first heartbeat that this instance sent: an owner
+        that is cut off from the key-value service does not know a new
+        instance and sends it nothing, but answers its heartbeats.
         """
         now = time.monotonic()
         peer = self.node.hub.peers.get(name)
-        heard = peer.heard if peer else 0.0
-        asked = self.node.suspects.get(name, now)
-        return now - max(heard, asked, self.node.lease.resumed_at)
+        last_heard_at = peer.heard if peer else 0.0
+        suspected_at = self.node.suspects.get(name, now)
+        return now - max(
+            last_heard_at, suspected_at, self.node.lease.resumed_at
+        )
 
-    def _note_suspects(self, owners: DomainShards | None) -> None:
+    def _update_suspects(self, owners: DomainShards | None) -> None:
         living = living_instances(self.node)
-        lapsed = {
+        expired = {
             owner.owner
             for owner in (owners.shards if owners else [])
             if owner.owner and owner.owner not in living
         }
         now = time.monotonic()
         self.node.suspects = {
-            name: self.node.suspects.get(name, now) for name in lapsed
+            name: self.node.suspects.get(name, now) for name in expired
         }
 
-    async def _claim(self, owners: DomainShards | None) -> None:
-        count = self._count(owners)
-        known = owners.shards if owners else [NOBODY] * count
+    async def _claim_free_shards(self, owners: DomainShards | None) -> None:
+        count = self._shard_count(owners)
+        known = owners.shards if owners else [NO_OWNER] * count
         living = living_instances(self.node)
         free = [n for n, o in enumerate(known) if self._is_free(o, living)]
-        held = sum(1 for owner in known if self._mine(owner))
-        wanted = free[: max(0, share(self.node, count) - held)]
-        if not wanted:
+        held = sum(1 for owner in known if self._is_own(owner))
+        to_claim = free[: max(0, share(self.node, count) - held)]
+        if not to_claim:
             return
         node = self.node
         stored = await read_owners(node.kv, self.domain, count)
@@ -305,18 +330,18 @@
             return
         if stored.owners.epoch != (owners.epoch if owners else 0):
             return
-        targets = dict.fromkeys(wanted, self._me())
+        targets = dict.fromkeys(to_claim, self._own_record())
         changed = await write_owners(node.kv, self.domain, stored, targets)
         if isinstance(changed, DomainShards):
-            self.note(changed)
+            self.record_owners(changed)
             node.metrics.count("rattanmill_owner_changes", len(targets))
         elif isinstance(changed, Conflict):
-            await asyncio.sleep(random.uniform(0, _ROUND_SECONDS))
+            await asyncio.sleep(random.uniform(0, _RECONCILE_INTERVAL_SECONDS))
 
-    async def _tidy_for_ever(self) -> None:
-        """Forgets what ended long ago and keeps the logs short."""
+    async def _run_maintenance(self) -> None:
+        """Drops programs that ended long ago and compacts the logs."""
         while True:
-            await asyncio.sleep(_TIDY_SECONDS)
+            await asyncio.sleep(_MAINTENANCE_INTERVAL_SECONDS)
             for shard in list(self.node.shards.values()):
                 drop_ended(shard)
                 if is_due(shard) and self.node.lease.valid():
@@ -328,4 +353,8 @@
         result = "done" if done else "given_up"
         self.node.metrics.count("rattanmill_compactions", result=result)
         if done:
-            _log.info("Log of {}.{}: {} slots.", *shard.log.name, slots)
+            _log.info(
+                "Log of {}.{} compacted; it had {} slots.",
+                *shard.log.name,
+                slots,
+            )
--- a/libs/entry/src/rattanmill_entry/route.py
+++ b/libs/entry/src/rattanmill_entry/route.py
@@ -1,8 +1,8 @@
-"""Finds the owner of a call and brings the call there, over at most one hop.
+"""Routes a call to the owner of its program, over at most one hop.
 
-The caller's request may reach any instance. A call that meets a shard without
-an owner waits for the takeover for a bounded time; it is repeated only where
-the owner recognises a repeat (a turn, an act, a question) or it has not run.
+A caller may send its request to any instance. A call to a shard without an
+owner waits for the takeover, for a bounded time. It is retried only if the
+owner recognizes a repeat (a turn, an act, a read) or if it has not run.
 """
 
 import asyncio
@@ -18,9 +18,9 @@
 from rattanmill_programs import LOOSE_TOKEN
 from rattanmill_wire import CallKind, CallStart, ReplyHead, ReplyRefused
 
-_PATIENCE_LEASES = 3
-_PAUSE_SECONDS = 0.1
-WORTH_WAITING = (
+_MAX_OWNER_WAIT_LEASES = 3
+_RETRY_PAUSE_SECONDS = 0.1
+RETRYABLE_REASONS = (
     Reason.NOT_OWNER,
     Reason.OWNER_UNREACHABLE,
     Reason.OWNERSHIP_LOST,
@@ -28,20 +28,28 @@
 
 
 async def dispatch(node: Node, start: CallStart) -> Replies:
-    """Serves a call here or at its owner."""
+    """Serves a call here or at its owner.
+
+    Args:
+        node: The daemon's context.
+        start: The call.
+
+    Yields:
+        The replies to the caller.
+    """
     if not start.program:
         async for reply in serve_loose(node, start):
             yield reply
         return
     loop = asyncio.get_running_loop()
-    until = loop.time() + start.seconds_left
-    patience = _PATIENCE_LEASES * node.settings.lease_seconds
-    deadline = loop.time() + min(patience, start.seconds_left)
+    call_deadline = loop.time() + start.seconds_left
+    max_wait = _MAX_OWNER_WAIT_LEASES * node.settings.lease_seconds
+    retry_deadline = loop.time() + min(max_wait, start.seconds_left)
     ran = Ran.NO
     while True:
         refusal = None
-        async for reply in _once(node, start):
-            if isinstance(reply, ReplyRefused) and _is_worth_waiting(
+        async for reply in _try_once(node, start):
+            if isinstance(reply, ReplyRefused) and _is_retryable(
                 start, reply.refusal
             ):
                 refusal = reply.refusal
@@ -50,33 +58,33 @@
                 reply = refused(start, reply.refusal.after(ran))
             yield reply
             if isinstance(reply, ReplyHead):
-                deadline = 0.0
+                retry_deadline = 0.0
         if refusal is None:
             return
         if refusal.ran is not Ran.NO:
             ran = refusal.ran
-        if loop.time() >= deadline:
+        if loop.time() >= retry_deadline:
             yield refused(start, refusal.after(ran))
             return
-        start.seconds_left = max(0.0, until - loop.time())
+        start.seconds_left = max(0.0, call_deadline - loop.time())
         node.metrics.retried(refusal.reason)
-        await asyncio.sleep(random.uniform(0.5, 1) * _PAUSE_SECONDS)
+        await asyncio.sleep(random.uniform(0.5, 1) * _RETRY_PAUSE_SECONDS)
 
 
-def _is_worth_waiting(start: CallStart, refusal: Refusal) -> bool:
-    if refusal.reason not in WORTH_WAITING:
+def _is_retryable(start: CallStart, refusal: Refusal) -> bool:
+    if refusal.reason not in RETRYABLE_REASONS:
         return False
     return start.kind is not CallKind.CREATE or refusal.ran is Ran.NO
 
 
-async def _once(node: Node, start: CallStart) -> Replies:
-    """Makes one try at the owner that is known now."""
-    owned = parse_program_id(start.program)
-    owner = owner_of(node, owned.domain, owned.shard) if owned else None
-    if owned and owned.domain not in node.config.domains:
-        detail = "The program's id names no failure domain of ours."
+async def _try_once(node: Node, start: CallStart) -> Replies:
+    """Sends the call once to the currently known owner."""
+    parsed = parse_program_id(start.program)
+    owner = owner_of(node, parsed.domain, parsed.shard) if parsed else None
+    if parsed and parsed.domain not in node.config.domains:
+        detail = "The program's id names an unknown failure domain."
         yield refused(start, refuse(Reason.UNKNOWN_PROGRAM, detail))
-    elif owned and (owned.domain, owned.shard) in node.shards:
+    elif parsed and (parsed.domain, parsed.shard) in node.shards:
         async for reply in serve(node, start):
             yield reply
     elif owner is None or owner.name == node.settings.name:
@@ -86,14 +94,14 @@
         peer = node.hub.peer(owner.name, peer_address(node, owner))
 
         def has_moved() -> bool:
-            return owner_of(node, owned.domain, owned.shard) != owner
+            return owner_of(node, parsed.domain, parsed.shard) != owner
 
         async for reply in peer.call(start, has_moved):
             yield reply
 
 
 def owner_of(node: Node, domain: str, shard: int) -> InstanceRecord | None:
-    """Returns the last known record of a shard's owner."""
+    """Returns the last known record of a shard's owner, or None."""
     owners = node.live.shards.get(domain)
     if owners is None or shard >= len(owners.shards):
         return None
@@ -103,26 +111,29 @@
 
 def peer_address(node: Node, record: InstanceRecord) -> str:
     """Returns the address at which this instance reaches another."""
-    inside = record.domain == node.settings.domain
-    return record.peer if inside else record.outside
+    same_domain = record.domain == node.settings.domain
+    return record.peer if same_domain else record.outside
+
 
+def new_program_shard(node: Node) -> str:
+    """Returns a shard for a new program, preferably an own one.
 
-def home_shard(node: Node) -> str:
-    """Returns a shard for a new program, best one owned by this instance.
+    Otherwise it is a shard whose owner is live and not shutting down: a shard
+    in handover may have no owner until its last call has ended.
 
-    Else one whose owner lives and stays: a shard that is handed over may have
-    no owner until its last call has ended.
+    Returns:
+        Failure domain, shard number and LOOSE_TOKEN, joined by dots.
     """
     domain = node.settings.domain
-    own = [shard for name, shard in node.shards if name == domain]
+    own_shards = [shard for name, shard in node.shards if name == domain]
     chosen = random.choice(
-        own or _kept_shards(node) or range(shard_count(node, domain))
+        own_shards or _stable_shards(node) or range(shard_count(node, domain))
     )
     return f"{domain}.{chosen}.{LOOSE_TOKEN}"
 
 
-def _kept_shards(node: Node) -> list[int]:
-    """Shards of our domain whose owners are others that stay."""
+def _stable_shards(node: Node) -> list[int]:
+    """Shards of this domain whose owners are others and not shutting down."""
     owners = node.live.shards.get(node.settings.domain)
     others = staying(node)
     others.pop(node.settings.name, None)
@@ -136,8 +147,8 @@
 def shard_count(node: Node, domain: str) -> int:
     """Returns the number of a failure domain's shards.
 
-    It is fixed once the domain has owners; a configuration that names another
-    number later changes nothing.
+    It is fixed once the domain has owners; a later change of the
+    configuration has no effect.
     """
     owners = node.live.shards.get(domain)
     if owners and owners.shards:
@@ -147,10 +158,10 @@
 
 
 def act_shard(node: Node, workspace: str, key: str) -> str:
-    """Returns the shard of an act that belongs to no program.
+    """Returns the shard of an act without a program.
 
-    Every instance finds the same one, so that a repeat through another
-    instance meets the first try.
+    Every instance computes the same shard, so that a repeat through another
+    instance finds the first request.
     """
     digest = hashlib.sha256(f"{workspace}\n{key}".encode()).digest()
     number = int.from_bytes(digest[:8], "big")
--- a/libs/entry/src/rattanmill_entry/upstream.py
+++ b/libs/entry/src/rattanmill_entry/upstream.py
@@ -10,11 +10,11 @@
 
 from rattanmill_policy import Outcome
 
-_CONNECT_SECONDS = 2.0
-_SILENCE_SECONDS = 60.0
-_LEAST_SECONDS = 0.001
-_EVENT_BYTES = 1024 * 1024
-_DETAIL_BYTES = 4096
+_CONNECT_TIMEOUT_SECONDS = 2.0
+_READ_TIMEOUT_SECONDS = 60.0
+_MIN_TIMEOUT_SECONDS = 0.001
+_MAX_EVENT_BYTES = 1024 * 1024
+_MAX_DETAIL_BYTES = 4096
 
 
 class Usage(msgspec.Struct):
@@ -26,7 +26,7 @@
 
 
 class Delta(msgspec.Struct):
-    """Part of an answer as it arrives.
+    """A part of a streamed answer.
 
     Attributes:
         fields: The ``delta`` object of the first choice.
@@ -38,19 +38,24 @@
 
 
 class Finished(msgspec.Struct):
-    """The whole answer has arrived."""
+    """The whole answer has arrived.
 
-    finish: str
+    Attributes:
+        finish_reason: Why the engine stopped.
+        usage: Tokens that the engine reported.
+    """
+
+    finish_reason: str
     usage: Usage
 
 
 class Failed(msgspec.Struct):
-    """The attempt ended without a whole answer.
+    """The attempt ended without a complete response.
 
     Attributes:
         outcome: How it ended.
         status: HTTP status, or 0.
-        detail: What went wrong, or the endpoint's own body.
+        detail: Description of the error, or the body of the response.
     """
 
     outcome: Outcome
@@ -58,8 +63,8 @@
     detail: str
 
 
-class ServiceAnswer(msgspec.Struct):
-    """Answer of a plain service."""
+class ServiceResponse(msgspec.Struct):
+    """Response of a plain service."""
 
     status: int
     headers: list[tuple[str, str]]
@@ -86,8 +91,8 @@
     usage: _WireUsage | None = None
 
 
-_EVENT = msgspec.json.Decoder(_Event)
-_HOP_HEADERS = frozenset(
+_EVENT_DECODER = msgspec.json.Decoder(_Event)
+_EXCLUDED_RESPONSE_HEADERS = frozenset(
     (
         "connection",
         "content-length",
@@ -101,7 +106,7 @@
         "upgrade",
     )
 )
-_ANSWER_BYTES = 64 * 1024 * 1024
+_MAX_ANSWER_BYTES = 64 * 1024 * 1024
 
 
 def stream_chat(
@@ -109,13 +114,20 @@
     url: str,
     body: bytes,
     headers: dict[str, str],
-    silence_seconds: float = _SILENCE_SECONDS,
+    read_timeout_seconds: float = _READ_TIMEOUT_SECONDS,
 ) -> AsyncIterator[Delta | Finished | Failed]:
-    """Runs a chat call; the last thing yielded is Finished or Failed.
+    """Runs a chat call; the last part is Finished or Failed.
 
-    An answer counts as whole only when it had a finish reason, a usage and
-    the ``[DONE]`` line: a connection that ends early looks like a short
-    answer otherwise.
+    An answer is complete only with a finish reason, a usage and the
+    ``[DONE]`` line. Otherwise a connection that ends early would look like a
+    short answer.
+
+    Args:
+        session: HTTP session.
+        url: Base URL of the engine.
+        body: JSON of the request.
+        headers: Headers of the request.
+        read_timeout_seconds: Longest time between two reads.
     """
     headers = {"Content-Type": "application/json", **headers}
     return _stream(
@@ -123,9 +135,9 @@
             f"{url}/v1/chat/completions",
             data=body,
             headers=headers,
-            timeout=_stream_timeout(silence_seconds),
+            timeout=_stream_timeout(read_timeout_seconds),
             allow_redirects=False,
-            middlewares=(_send_once(),),
+            middlewares=(_no_resend_middleware(),),
         )
     )
 
@@ -134,21 +146,30 @@
     session: aiohttp.ClientSession,
     url: str,
     request_id: str,
-    silence_seconds: float = _SILENCE_SECONDS,
+    read_timeout_seconds: float = _READ_TIMEOUT_SECONDS,
 ) -> AsyncIterator[Delta | Finished | Failed]:
-    """Reads the stream of a call again, from its first token."""
+    """Reads the stream of a call again from its first token.
+
+    Args:
+        session: HTTP session.
+        url: Base URL of the engine.
+        request_id: Id of the call at the engine.
+        read_timeout_seconds: Longest time between two reads.
+    """
     return _stream(
         session.get(
             f"{url}/v1/streams/{request_id}?from=0",
-            timeout=_stream_timeout(silence_seconds),
+            timeout=_stream_timeout(read_timeout_seconds),
             allow_redirects=False,
         )
     )
 
 
-def _stream_timeout(silence_seconds: float) -> aiohttp.ClientTimeout:
+def _stream_timeout(read_timeout_seconds: float) -> aiohttp.ClientTimeout:
     return aiohttp.ClientTimeout(
-        total=None, sock_connect=_CONNECT_SECONDS, sock_read=silence_seconds
+        total=None,
+        sock_connect=_CONNECT_TIMEOUT_SECONDS,
+        sock_read=read_timeout_seconds,
     )
 
 
@@ -156,16 +177,16 @@
     call: contextlib.AbstractAsyncContextManager[aiohttp.ClientResponse],
 ) -> AsyncIterator[Delta | Finished | Failed]:
     try:
-        async with call as answer:
-            if answer.status != 200:
-                yield await _rejected(answer)
+        async with call as response:
+            if response.status != 200:
+                yield await _failed_response(response)
                 return
-            async for part in _parts(answer.content):
+            async for part in _parts(response.content):
                 yield part
     except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as e:
         yield Failed(Outcome.NOT_CONNECTED, 0, str(e))
     except TimeoutError:
-        yield Failed(Outcome.TIMED_OUT, 0, "no token for too long")
+        yield Failed(Outcome.TIMED_OUT, 0, "timed out waiting for a token")
     except (aiohttp.ClientError, OSError, msgspec.DecodeError) as error:
         yield Failed(Outcome.BROKEN, 0, str(error) or "connection lost")
 
@@ -180,9 +201,11 @@
             if finish and usage:
                 yield Finished(finish, usage)
             else:
-                yield Failed(Outcome.BROKEN, 0, "no end of answer")
+                yield Failed(
+                    Outcome.BROKEN, 0, "no finish reason or usage in stream"
+                )
             return
-        event = _EVENT.decode(data)
+        event = _EVENT_DECODER.decode(data)
         if event.usage:
             usage = _usage(event.usage)
         if event.choices:
@@ -190,23 +213,25 @@
             finish = choice.finish_reason or finish
             if choice.delta:
                 yield Delta(choice.delta, data)
-    yield Failed(Outcome.BROKEN, 0, "stream cut")
+    yield Failed(Outcome.BROKEN, 0, "stream ended early")
 
 
-async def _rejected(answer: aiohttp.ClientResponse) -> Failed:
-    """Returns how an answer that is no stream counts.
+async def _failed_response(response: aiohttp.ClientResponse) -> Failed:
+    """Returns the failure for a response with an error status.
 
-    Only ``draining`` says that nothing ran; an engine that fails for another
-    reason may have begun.
+    Only ``draining`` shows that nothing ran; an engine that fails for another
+    reason may have started the call.
     """
-    detail = (await answer.content.read(_DETAIL_BYTES)).decode(errors="replace")
-    if answer.status == 503 and '"draining"' in detail:
+    detail = (await response.content.read(_MAX_DETAIL_BYTES)).decode(
+        errors="replace"
+    )
+    if response.status == 503 and '"draining"' in detail:
         outcome = Outcome.DRAINING
-    elif answer.status >= 500:
+    elif response.status >= 500:
         outcome = Outcome.BROKEN
     else:
         outcome = Outcome.REJECTED
-    return Failed(outcome, answer.status, detail)
+    return Failed(outcome, response.status, detail)
 
 
 async def _events(content: aiohttp.StreamReader) -> AsyncIterator[bytes]:
@@ -215,8 +240,8 @@
     async for part in content.iter_any():
         rest += part
         *events, rest = rest.split(b"\n\n")
-        if len(rest) > _EVENT_BYTES:
-            raise aiohttp.ClientPayloadError("event too long")
+        if len(rest) > _MAX_EVENT_BYTES:
+            raise aiohttp.ClientPayloadError("event too large")
         for event in events:
             for line in event.split(b"\n"):
                 if line.startswith(b"data:"):
@@ -236,27 +261,27 @@
     url: str,
     headers: list[tuple[str, str]],
     body: bytes,
-    seconds: float,
-    once: bool = False,
+    timeout_seconds: float,
+    no_resend: bool = False,
     may_send: Callable[[], bool] | None = None,
-) -> ServiceAnswer | Failed:
+) -> ServiceResponse | Failed:
     """Runs one call of a plain service.
 
     Args:
         session: HTTP session.
         method: HTTP method.
-        url: Where to.
+        url: URL of the request.
         headers: Headers of the request.
         body: Body of the request.
-        seconds: Longest time it may take.
-        once: Whether it must not be sent a second time by the library.
-        may_send: Asked once more when there is a connection; needs a session
-            with ``withholding_trace``.
+        timeout_seconds: Limit of the whole call.
+        no_resend: Stops aiohttp from sending the request a second time.
+        may_send: Called once more when a connection has been made; needs a
+            session with ``send_guard_trace``.
     """
     timeout = aiohttp.ClientTimeout(
-        # To the library, 0 is no limit.
-        total=max(seconds, _LEAST_SECONDS),
-        sock_connect=_CONNECT_SECONDS,
+        # aiohttp takes 0 for no limit.
+        total=max(timeout_seconds, _MIN_TIMEOUT_SECONDS),
+        sock_connect=_CONNECT_TIMEOUT_SECONDS,
     )
     try:
         async with session.request(
@@ -265,20 +290,20 @@
             headers=headers,
             data=body,
             timeout=timeout,
-            # A redirect is the service's answer, and the caller's to follow:
-            # the library would send a request again that has run already.
+            # A redirect is passed to the caller: aiohttp would follow it and
+            # send a request again that has run already.
             allow_redirects=False,
             skip_auto_headers=("Accept-Encoding", "Content-Type"),
-            middlewares=(_send_once(),) if once else (),
+            middlewares=(_no_resend_middleware(),) if no_resend else (),
             trace_request_ctx=may_send,
-        ) as answer:
-            data = await _read_bounded(answer)
-            kept = [
+        ) as response:
+            data = await _read_bounded(response)
+            response_headers = [
                 (str(name), value)
-                for name, value in answer.headers.items()
-                if name.lower() not in _HOP_HEADERS
+                for name, value in response.headers.items()
+                if name.lower() not in _EXCLUDED_RESPONSE_HEADERS
             ]
-            return ServiceAnswer(answer.status, kept, data)
+            return ServiceResponse(response.status, response_headers, data)
     except (
         aiohttp.ClientConnectorError,
         aiohttp.ConnectionTimeoutError,
@@ -286,24 +311,24 @@
     ) as e:
         return Failed(Outcome.NOT_CONNECTED, 0, str(e))
     except TimeoutError:
-        return Failed(Outcome.TIMED_OUT, 0, "no answer in time")
+        return Failed(Outcome.TIMED_OUT, 0, "timed out")
     except (aiohttp.ClientError, OSError) as error:
         return Failed(Outcome.BROKEN, 0, str(error) or "connection lost")
 
 
 class _WithheldError(aiohttp.ClientError):
-    """A connection was made, and the request must not be sent any more."""
+    """The request must not be sent any more on the new connection."""
 
 
-def withholding_trace() -> aiohttp.TraceConfig:
-    """Returns a trace that asks ``may_send`` between connecting and sending.
+def send_guard_trace() -> aiohttp.TraceConfig:
+    """Returns a trace that calls ``may_send`` between connecting and sending.
 
-    Connecting takes time, and a stopped process does not notice it: the
-    kernel completes the connection meanwhile. A process that wakes up there
-    would send what its replacement has already called unknown.
+    A process may be paused while it connects; the kernel completes the
+    connection meanwhile. When the process is resumed, it would send a request
+    whose outcome its replacement has already reported as unknown.
     """
 
-    async def ask(
+    async def check_may_send(
         session: aiohttp.ClientSession,
         context: SimpleNamespace,
         params: aiohttp.TraceConnectionCreateEndParams,
@@ -313,16 +338,16 @@
             raise _WithheldError("not sent")
 
     trace = aiohttp.TraceConfig()
-    trace.on_connection_create_end.append(ask)
+    trace.on_connection_create_end.append(check_may_send)
     return trace
 
 
-def _send_once() -> aiohttp.ClientMiddlewareType:
-    """Returns a middleware that stops the library's own second attempt.
+def _no_resend_middleware() -> aiohttp.ClientMiddlewareType:
+    """Returns a middleware that prevents retries by aiohttp itself.
 
-    On a connection that breaks before the answer, the library sends PUT,
-    DELETE and other methods again, also on a connection that is new. A
-    service would show two runs of one call.
+    If a connection breaks before the response, aiohttp sends PUT, DELETE and
+    other methods again, even if the connection was new. The service would run
+    one call twice.
     """
     sent = False
 
@@ -338,13 +363,13 @@
     return middleware
 
 
-async def _read_bounded(answer: aiohttp.ClientResponse) -> bytes:
+async def _read_bounded(response: aiohttp.ClientResponse) -> bytes:
     parts = []
     size = 0
-    async for part in answer.content.iter_any():
+    async for part in response.content.iter_any():
         size += len(part)
-        if size > _ANSWER_BYTES:
-            raise aiohttp.ClientPayloadError("answer too long")
+        if size > _MAX_ANSWER_BYTES:
+            raise aiohttp.ClientPayloadError("response too large")
         parts.append(part)
     return b"".join(parts)
 
@@ -352,8 +377,8 @@
 async def cancel_chat(
     session: aiohttp.ClientSession, url: str, request_id: str
 ) -> None:
-    """Tells an engine to stop a call nobody waits for."""
-    timeout = aiohttp.ClientTimeout(total=_CONNECT_SECONDS)
+    """Cancels a call at an engine that nothing waits for any more."""
+    timeout = aiohttp.ClientTimeout(total=_CONNECT_TIMEOUT_SECONDS)
     with contextlib.suppress(
         aiohttp.ClientError, OSError, asyncio.TimeoutError
     ):
--- a/libs/policy/src/rattanmill_policy/knowledge.py
+++ b/libs/policy/src/rattanmill_policy/knowledge.py
@@ -1,4 +1,4 @@
-"""All that an instance's decisions rest on."""
+"""State of the scheduler on which all decisions of an instance are based."""
 
 import random
 from collections.abc import Callable
@@ -10,24 +10,29 @@
 from rattanmill_policy.candidates import Candidates
 from rattanmill_policy.fairness import WorkspaceShares
 from rattanmill_policy.prefixes import PrefixMap
-from rattanmill_policy.queueing import ProgramUse, ProgramUses, Waiter
+from rattanmill_policy.queueing import ProgramUsage, ProgramUsageTable, Waiter
 from rattanmill_policy.retries import RetryBudget
-from rattanmill_policy.speeds import EndpointStats, Pace, pace
+from rattanmill_policy.speeds import BlendedSpeed, EndpointStats, blend_speed
 from rattanmill_policy.table import EndpointTable
 from rattanmill_policy.work import Work
 
 
 class Rules(msgspec.Struct, frozen=True):
-    """Which rules are in force; all, but for measuring what each is worth.
+    """Scheduling rules in force.
+
+    All rules are enabled in production. Benchmarks disable individual rules to
+    measure the effect of each.
 
     Attributes:
-        speeds: Speeds are learned; else all endpoints count as equal.
-        prefixes: Cached prefixes count.
-        reports: Load reports count.
-        order: Calls wait by deadline; else in the order they came.
-        admission: What cannot meet its target is refused.
-        shares: Workspaces over their share go later.
-        budget: Retries have a budget.
+        speeds: Learn the speed of each endpoint; otherwise all endpoints are
+            treated as equal.
+        prefixes: Take cached prefixes into account.
+        reports: Take load reports into account.
+        order: Order waiting calls by deadline; otherwise first come, first
+            served.
+        admission: Refuse programs that cannot meet their target.
+        shares: Defer workspaces that exceed their fair share.
+        budget: Limit retries by a budget.
     """
 
     speeds: bool = True
@@ -39,29 +44,29 @@
     budget: bool = True
 
 
-class Group:
-    """What is served by the same endpoints.
+class EndpointGroup:
+    """State shared by all calls that the same endpoints serve.
 
     Attributes:
-        waiting: Waiting calls, first to go first.
-        finished: Rate of calls that end.
-        permits: Programs that may begin.
+        waiting: Waiting calls, ordered by deadline.
+        completions: Rate at which calls end.
+        permits: Permits for program starts.
     """
 
     def __init__(self) -> None:
         self.waiting: list[Waiter] = []
-        self.finished = Rate()
+        self.completions = Rate()
         self.permits = Permits()
 
 
-class Knowledge:
-    """State of the scheduler, and simple questions to it.
+class SchedulerState:
+    """State of the scheduler, with simple queries.
 
     Args:
-        table: Endpoints known.
+        table: Known endpoints.
         config: Returns the operators' configuration in force.
         rules: Rules in force.
-        rng: Source of what is random.
+        rng: Random number generator.
     """
 
     def __init__(
@@ -77,37 +82,39 @@
         self.candidates = Candidates(table, rng)
         self.admission = Admission(rng)
         self.prefixes = PrefixMap()
-        self.programs = ProgramUses()
+        self.programs = ProgramUsageTable()
         self.shares = WorkspaceShares()
-        self.budget = RetryBudget()
-        self.groups: dict[str, Group] = {}
+        self.retry_budget = RetryBudget()
+        self.groups: dict[str, EndpointGroup] = {}
 
     def class_name(self, work: Work) -> str:
-        """Returns the class of a call; the default if it has gone."""
+        """Returns the class of a call, or the default if it was removed."""
         document = self.config()
-        known = work.klass in document.classes
-        return work.klass if known else document.default_class
+        is_known = work.klass in document.classes
+        return work.klass if is_known else document.default_class
 
     def class_of(self, work: Work) -> WorkClass:
-        """Returns the targets of a call's class, as in force now."""
+        """Returns the current targets of a call's class."""
         return self.config().classes[self.class_name(work)]
 
-    def group_of(self, work: Work) -> Group:
-        """Returns what a call waits with."""
-        return self.groups.setdefault(work.group, Group())
+    def group_of(self, work: Work) -> EndpointGroup:
+        """Returns the endpoint group of a call."""
+        return self.groups.setdefault(work.group, EndpointGroup())
 
-    def use_of(self, work: Work, now: float) -> ProgramUse:
-        """Returns what a call's program has had."""
-        return self.programs.of(work, now)
+    def usage_of(self, work: Work, now: float) -> ProgramUsage:
+        """Returns the service used by a call's program."""
+        return self.programs.usage_of(work, now)
 
     def excess(self, work: Work, now: float) -> float:
-        """Returns what its workspace uses beyond its share, in shares."""
+        """Returns the workspace's usage above its share, in fair shares."""
         if not self.rules.shares:
             return 0.0
         return self.shares.excess(work.workspace, now)
 
-    def pace_of(self, work: Work, stats: EndpointStats, now: float) -> Pace:
+    def speeds_of(
+        self, work: Work, stats: EndpointStats, now: float
+    ) -> BlendedSpeed:
         """Returns the speeds of an endpoint."""
         fleet = self.candidates.fleet(work.group)
         own = stats.speed if self.rules.speeds else fleet
-        return pace(own, fleet, now)
+        return blend_speed(own, fleet, now)
--- a/libs/policy/src/rattanmill_policy/pinning.py
+++ b/libs/policy/src/rattanmill_policy/pinning.py
@@ -1,83 +1,87 @@
-"""When a program's cache is kept at an engine through a tool pause."""
+"""Decides when an engine keeps a program's cache during a tool pause."""
 
 import msgspec
 
 from rattanmill_policy.table import EndpointState
 
-_LEAST_TOKENS = 64
-_LEAST_ROOM_TOKENS = 20_000
-_MOST_SHARE = 0.5
-_GROWTH = 1.25
-_FIRST_PAUSE_SECONDS = 15.0
-_MOST_PAUSE_SECONDS = 120.0
-_WEIGHT = 0.3
-# A pin is dropped when a pause has lasted so many times what was expected.
-_PATIENCE = 4.0
-_LEAST_PIN_SECONDS = 10.0
+_MIN_PIN_TOKENS = 64
+_MIN_ROOM_TOKENS = 20_000
+_MAX_CACHE_SHARE = 0.5
+_REPIN_GROWTH = 1.25
+_INITIAL_PAUSE_SECONDS = 15.0
+_MAX_PAUSE_SECONDS = 120.0
+_PAUSE_EWMA_WEIGHT = 0.3
+# A pin expires after a pause of this many times the expected length.
+_PIN_PAUSE_FACTOR = 4.0
+_MIN_PIN_SECONDS = 10.0
 
 
 class Pin(msgspec.Struct):
-    """A program's cache kept at one engine.
+    """Pin of a program's cache at one engine.
 
     Attributes:
-        tokens: Tokens of the prompt that was pinned.
-        until: Loop time at which it is dropped.
+        tokens: Tokens of the pinned prompt.
+        expires_at: Loop time at which the pin expires.
     """
 
     tokens: int
-    until: float
+    expires_at: float
 
 
-class Pinned(msgspec.Struct):
-    """What is known of one program's pauses and pins.
+class ProgramPins(msgspec.Struct):
+    """Pauses and pins of one program.
 
     Attributes:
-        pins: By name of the engine.
+        pins: Pins by engine name.
         paused_at: Loop time at which its last turn ended, or None.
-        pause_seconds: Expected length of a pause.
+        expected_pause_seconds: Expected length of a pause.
     """
 
     pins: dict[str, Pin] = msgspec.field(default_factory=dict)
     paused_at: float | None = None
-    pause_seconds: float = _FIRST_PAUSE_SECONDS
+    expected_pause_seconds: float = _INITIAL_PAUSE_SECONDS
 
-    def returned(self, now: float) -> None:
-        """Learns from the pause that ends now."""
+    def end_pause(self, now: float) -> None:
+        """Updates the expected pause with the pause that ends now."""
         if self.paused_at is not None:
-            seen = now - self.paused_at
-            self.pause_seconds += _WEIGHT * (seen - self.pause_seconds)
+            observed = now - self.paused_at
+            self.expected_pause_seconds += _PAUSE_EWMA_WEIGHT * (
+                observed - self.expected_pause_seconds
+            )
             self.paused_at = None
 
-    def deadline(self, now: float) -> float:
-        """Returns when a pin that is useful now is dropped."""
-        wait = max(_LEAST_PIN_SECONDS, _PATIENCE * self.pause_seconds)
+    def pin_deadline(self, now: float) -> float:
+        """Returns the loop time at which a pin used now expires."""
+        wait = max(
+            _MIN_PIN_SECONDS, _PIN_PAUSE_FACTOR * self.expected_pause_seconds
+        )
         return now + wait
 
-    def is_worth_keeping(self, tokens: int) -> bool:
-        """Whether the program should be back soon enough with enough."""
-        soon = self.pause_seconds <= _MOST_PAUSE_SECONDS
-        return soon and tokens >= _LEAST_TOKENS
+    def should_pin(self, tokens: int) -> bool:
+        """Returns whether pauses are short and the cache is worth pinning."""
+        soon = self.expected_pause_seconds <= _MAX_PAUSE_SECONDS
+        return soon and tokens >= _MIN_PIN_TOKENS
 
     def covers(self, engine: str, tokens: int) -> bool:
-        """Whether a pin there has most of a prompt.
+        """Returns whether an existing pin covers most of a prompt.
 
-        A pin order carries the whole conversation. Sent again only when that
-        has grown by a quarter, all orders together stay within a few times
-        the length of the conversation.
+        A pin request carries the whole conversation. Because it is sent again
+        only after the conversation has grown by a quarter, the total size of
+        all requests stays within a few times the length of the conversation.
         """
         pin = self.pins.get(engine)
-        return pin is not None and tokens < pin.tokens * _GROWTH
+        return pin is not None and tokens < pin.tokens * _REPIN_GROWTH
 
 
-def has_room(state: EndpointState, tokens: int, ours: int) -> bool:
-    """Whether an engine can keep more without starving other prompts.
+def has_room(state: EndpointState, tokens: int, own_tokens: int) -> bool:
+    """Returns whether an engine can pin more without starving other prompts.
 
     Args:
-        state: The engine.
-        tokens: Tokens to keep.
-        ours: Tokens this instance keeps there already.
+        state: State of the engine.
+        tokens: Tokens to pin.
+        own_tokens: Tokens that this instance has already pinned there.
     """
     load = state.load
-    held = max(ours, load.pinned_tokens if load else 0)
-    most = max(_LEAST_ROOM_TOKENS, _MOST_SHARE * state.cache_tokens_seen)
-    return held + tokens <= most
+    pinned_tokens = max(own_tokens, load.pinned_tokens if load else 0)
+    limit = max(_MIN_ROOM_TOKENS, _MAX_CACHE_SHARE * state.max_cache_tokens)
+    return pinned_tokens + tokens <= limit
--- a/tests/features/steps/placement.py
+++ b/tests/features/steps/placement.py
@@ -1,4 +1,4 @@
-"""Steps of placement."""
+"""Steps for placement."""
 
 import asyncio
 import random
@@ -11,12 +11,17 @@
 from bench.policies import Naive
 from rattanmill_core import Reason, WorkClass
 from rattanmill_policy import LoadReport, Scheduler, Work
-from rattanmill_policy.choosing import held_prefixes
-from rattanmill_policy.placement import Call, cache_price, estimate
+from rattanmill_policy.choosing import cached_prefixes
+from rattanmill_policy.placement import PlacementRequest, cache_price, estimate
 from rattanmill_policy.prefixes import PrefixMap
 from rattanmill_policy.ring import Ring
-from rattanmill_policy.speeds import EndpointStats, Pace
-from support.virtual import Fleet, chat_work, conversation, run_virtually
+from rattanmill_policy.speeds import BlendedSpeed, EndpointStats
+from support.virtual import (
+    Fleet,
+    chat_work,
+    conversation_prefixes,
+    run_virtually,
+)
 
 _EXAMPLES = settings(max_examples=100, deadline=None, derandomize=True)
 _NAMES = st.sets(st.text("abcdef123", min_size=1), min_size=2, max_size=12)
@@ -27,20 +32,21 @@
     context.make = make
 
 
-@given('runners "{names}" that take {seconds:f} s a call')
-def step_runners(context, names, seconds):
+@given('endpoints "{names}" that take {seconds:f} s per call')
+def step_endpoints(context, names, seconds):
     _plan(context, names, seconds, lambda *args: Scheduler(*args, seed=1))
 
 
 @given(
-    'runners "{names}" that take {seconds:f} s a call, before the naive version'
+    'endpoints "{names}" that take {seconds:f} s per call,'
+    " with the naive scheduler"
 )
-def step_naive_runners(context, names, seconds):
+def step_naive_endpoints(context, names, seconds):
     _plan(context, names, seconds, Naive)
 
 
-@given('runner "{name}" that takes {seconds:f} s a call')
-def step_runner(context, name, seconds):
+@given('endpoint "{name}" that takes {seconds:f} s per call')
+def step_endpoint(context, name, seconds):
     context.seconds[name] = seconds
 
 
@@ -63,7 +69,7 @@
     context.plan = [*getattr(context, "plan", []), ("calls", count, at_once)]
 
 
-@when('runner "{name}" keeps one call for {seconds:d} s')
+@when('endpoint "{name}" keeps one call for {seconds:d} s')
 def step_keeps(context, name, seconds):
     context.plan.append(("keep", name, seconds))
 
@@ -71,36 +77,36 @@
 async def _run_plan(context):
     fleet = _fleet(context)
     counts = []
-    for act in context.plan:
-        match act:
+    for action in context.plan:
+        match action:
             case ("calls", count, at_once):
-                before = fleet.ran.copy()
+                before = fleet.run_counts.copy()
                 await _calls(fleet, count, at_once)
-                counts.append(fleet.ran - before)
+                counts.append(fleet.run_counts - before)
             case ("keep", name, seconds):
                 fleet.seconds = fleet.seconds | {name: float(seconds)}
     return counts
 
 
-@then('runner "{slow}" ran under a third of what "{name}" ran')
+@then('endpoint "{slow}" ran less than a third as many calls as "{name}"')
 def step_third(context, slow, name):
     ran = run_virtually(_run_plan(context))[-1]
     assert 3 * ran[slow] < ran[name], ran
 
 
-@then('runner "{slow}" ran as much as "{name}"')
+@then('endpoint "{slow}" ran as many calls as "{name}"')
 def step_as_much(context, slow, name):
     ran = run_virtually(_run_plan(context))[-1]
     assert ran[slow] == ran[name], ran
 
 
-@then('runner "{name}" ran at most {most:d} of the last calls')
+@then('endpoint "{name}" ran at most {most:d} of the last calls')
 def step_at_most(context, name, most):
     ran = run_virtually(_run_plan(context))[-1]
     assert ran[name] <= most, ran
 
 
-@when("a conversation of 20 turns is held while others come and go")
+@when("a conversation of 20 turns runs beside other calls")
 def step_conversation(context):
     async def talk():
         fleet = _fleet(context)
@@ -110,65 +116,65 @@
             work = chat_work(
                 "talk",
                 turn=turn,
-                prefixes=conversation("talk", turn + 1),
+                prefixes=conversation_prefixes("talk", turn + 1),
                 prompt_tokens=500 * (turn + 1),
             )
-            placed = await fleet.call(work)
-            names.append(placed.state.endpoint.name)
+            placement = await fleet.call(work)
+            names.append(placement.state.endpoint.name)
         await others
         return names
 
     context.names = run_virtually(talk())
 
 
-@then("one runner ran all 20 turns")
-def step_one_runner(context):
+@then("one endpoint ran all 20 turns")
+def step_one_endpoint(context):
     assert len(set(context.names)) == 1, context.names
 
 
-@when("a conversation's runner gets {count:d} calls of others")
+@when("a conversation's endpoint gets {count:d} other calls")
 def step_busy(context, count):
     async def talk():
         fleet = _fleet(context)
-        prefixes = conversation("talk", 2)
+        prefixes = conversation_prefixes("talk", 2)
         work = {"prefixes": prefixes, "prompt_tokens": 1000}
         first = await fleet.call(chat_work("talk", **work))
         state = first.state
         report = LoadReport(waiting=count - 4, running=4, slots=4)
         for _ in range(5):
             await asyncio.sleep(1)
-            fleet.scheduler.take_report(state.endpoint.name, report)
+            fleet.scheduler.record_load_report(state.endpoint.name, report)
         second = await fleet.call(chat_work("talk", turn=3, **work))
         return state, second.state
 
     context.first, context.second = run_virtually(talk())
 
 
-@then("the conversation's next turn goes to the other runner")
+@then("the conversation's next turn goes to the other endpoint")
 def step_other(context):
     assert context.first is not context.second
 
 
-@then("what an answer says was not cached is not believed any longer")
-def step_not_believed(context):
+@then("a prefix that an answer reports as not cached is discarded")
+def step_discarded(context):
     context.prefixes = PrefixMap()
     old, new = (
-        chat_work(name, prefixes=conversation(name, 3))
+        chat_work(name, prefixes=conversation_prefixes(name, 3))
         for name in ("old", "new")
     )
     context.old, context.new = old, new
-    context.prefixes.sent(old, "a", 10.0)
-    context.prefixes.sent(new, "a", 20.0)
-    later = chat_work("later", prefixes=conversation("later", 3))
+    context.prefixes.record_prompt(old, "a", 10.0)
+    context.prefixes.record_prompt(new, "a", 20.0)
+    later = chat_work("later", prefixes=conversation_prefixes("later", 3))
     context.later = later
-    context.prefixes.sent(later, "a", 30.0)
-    held = context.prefixes.find(new)["a"]
-    context.prefixes.answered("a", held.tokens, held.since, 0)
+    context.prefixes.record_prompt(later, "a", 30.0)
+    cached = context.prefixes.find(new)["a"]
+    context.prefixes.record_answer("a", cached.tokens, cached.last_used, 0)
     assert not context.prefixes.find(new)
     assert context.prefixes.find(later)
 
 
-@then("neither is anything that was last used before it")
+@then("so are all prefixes that were last used before it")
 def step_older(context):
     assert not context.prefixes.find(context.old)
 
@@ -179,26 +185,26 @@
     @for_any(_NAMES, st.binary(min_size=1), st.randoms())
     def check(names, digest, rng):
         shuffled = rng.sample(sorted(names), len(names))
-        one, other = Ring(sorted(names)), Ring(shuffled)
-        assert one.homes(digest, 2) == other.homes(digest, 2)
+        first, second = Ring(sorted(names)), Ring(shuffled)
+        assert first.homes(digest, 2) == second.homes(digest, 2)
 
     check()
 
 
-@then("when a runner goes, only the prefixes at home there move")
+@then("when an endpoint is removed, only the prefixes at home there move")
 def step_few_move(context):
     @_EXAMPLES
     @for_any(_NAMES, st.binary(min_size=1))
     def check(names, digest):
-        gone, *rest = sorted(names)
+        removed, *remaining = sorted(names)
         (before,) = Ring(names).homes(digest, 1)
-        (after,) = Ring(rest).homes(digest, 1)
-        assert before in (after, gone)
+        (after,) = Ring(remaining).homes(digest, 1)
+        assert before in (after, removed)
 
     check()
 
 
-@then("a ring that was changed step by step is the same as one made at once")
+@then("a ring updated step by step equals one built at once")
 def step_same_ring(context):
     @_EXAMPLES
     @for_any(st.lists(_NAMES, min_size=1, max_size=6))
@@ -211,28 +217,28 @@
     check()
 
 
-@when('"a" is the faster one but has its one place taken')
+@when('"a" is the faster endpoint but its only slot is taken')
 def step_place_taken(context):
     async def run():
         fleet = _fleet(context)
         fleet.seconds = {"a": 0.18, "b": 0.2}
         await _calls(fleet, 40, 2)
         for name in fleet.seconds:
-            fleet.scheduler.take_report(name, LoadReport(slots=8))
-        fleet.limit(1)
+            fleet.scheduler.record_load_report(name, LoadReport(slots=8))
+        fleet.set_limit(1)
         held = await fleet.hold(chat_work("holder"))
         assert held.state.endpoint.name == "a", held.state.endpoint
         began = asyncio.get_running_loop().time()
-        placed = await fleet.hold(chat_work("next"))
+        placement = await fleet.hold(chat_work("next"))
         waited = asyncio.get_running_loop().time() - began
-        return placed.state.endpoint.name, waited
+        return placement.state.endpoint.name, waited
 
-    context.placed = run_virtually(run())
+    context.placement = run_virtually(run())
 
 
 @then('the next call goes to "b" at once')
 def step_to_b(context):
-    assert context.placed == ("b", 0.0), context.placed
+    assert context.placement == ("b", 0.0), context.placement
 
 
 @then("more load, less cache or a slower measurement never lowers the cost")
@@ -245,18 +251,18 @@
     @for_any(tokens, tokens, st.integers(0, 50), seconds, seconds, less)
     def check(prompt, output, in_flight, prefill, decode, share):
         cached = int(prompt * share)
-        call = Call(prompt, output, prompt, 3.0, True)
+        request = PlacementRequest(prompt, output, prompt, 3.0, True)
         stats = EndpointStats(4.0)
         stats.slots = 8
 
-        def cost(load, held, factor):
-            speed = Pace(prefill * factor, decode * factor, 0.1)
-            return estimate(stats, speed, load, call, held, 0.0).cost
+        def cost(load, cached, factor):
+            speed = BlendedSpeed(prefill * factor, decode * factor, 0.1)
+            return estimate(stats, speed, load, request, cached, 0.0).cost
 
-        least = cost(in_flight, cached, 1.0)
-        assert least <= cost(in_flight + 1, cached, 1.0)
-        assert least <= cost(in_flight, cached // 2, 1.0)
-        assert least <= cost(in_flight, cached, 1.5)
+        base_cost = cost(in_flight, cached, 1.0)
+        assert base_cost <= cost(in_flight + 1, cached, 1.0)
+        assert base_cost <= cost(in_flight, cached // 2, 1.0)
+        assert base_cost <= cost(in_flight, cached, 1.5)
 
     check()
 
@@ -267,10 +273,10 @@
 
     @_EXAMPLES
     @for_any(shares, shares, st.floats(0.0, 100.0))
-    def check(one, other, age):
+    def check(first, second, age):
         low, high = (
             cache_price(WorkClass(wasted_cache_share=share), age)
-            for share in (max(one, other), min(one, other))
+            for share in (max(first, second), min(first, second))
         )
         assert 0 <= low <= high
 
@@ -283,9 +289,9 @@
     assert cache_price(klass, 10.0) == 0
 
 
-@given("{count:d} runners")
+@given("{count:d} endpoints")
 def step_many(context, count):
-    names = ", ".join(f"runner-{number}" for number in range(count))
+    names = ", ".join(f"endpoint-{number}" for number in range(count))
     _plan(context, names, 0.2, lambda *args: Scheduler(*args, seed=1))
 
 
@@ -297,18 +303,18 @@
         for number in range(50):
             work = chat_work(
                 f"program-{number}",
-                prefixes=conversation(f"talk-{rng.randrange(5)}", 4),
+                prefixes=conversation_prefixes(f"talk-{rng.randrange(5)}", 4),
             )
             await fleet.call(work)
-            known = fleet.scheduler.known
-            held = held_prefixes(known, work)
-            found = known.candidates.pick(work, held)
+            scheduler_state = fleet.scheduler.state
+            cached = cached_prefixes(scheduler_state, work)
+            found = scheduler_state.candidates.select(work, cached)
             assert 1 < len(found) <= most, len(found)
 
     run_virtually(look())
 
 
-@when("{count:d} calls ask for models that nobody serves")
+@when("{count:d} calls request models that no endpoint serves")
 def step_unknown_models(context, count):
     async def run():
         context.fleet = _fleet(context)
@@ -318,10 +324,10 @@
     context.refusals = run_virtually(run())
 
 
-@then('each is refused as "unknown_model", and nothing is kept of them')
+@then('each is refused as "unknown_model" and no state is kept for them')
 def step_nothing_kept(context):
     reasons = {refusal.reason for refusal in context.refusals}
     assert reasons == {Reason.UNKNOWN_MODEL}, reasons
-    known = context.fleet.scheduler.known
-    kept = [len(known.candidates.pools), len(known.groups)]
+    scheduler_state = context.fleet.scheduler.state
+    kept = [len(scheduler_state.candidates.pools), len(scheduler_state.groups)]
     assert kept == [0, 0], kept
--- a/tests/features/steps/site_placing.py
+++ b/tests/features/steps/site_placing.py
@@ -6,82 +6,94 @@
 from behave import given, then, when
 
 from rattanmill_core import Metrics
-from rattanmill_forward import Backend, Endpoint, Kind, Route, Service
+from rattanmill_forward import Backend, Endpoint, Route, RouteKind, Service
 from rattanmill_forward.calls import Load, PromptPart
-from rattanmill_forward.dispatch import Dispatcher, Job, Running
-from rattanmill_forward.domains import Domains
-from rattanmill_forward.endpoints import EndpointBook
-from rattanmill_forward.stats import Knowledge, Stay
+from rattanmill_forward.dispatch import Dispatcher, Job, RunningCall
+from rattanmill_forward.domains import DomainMonitor
+from rattanmill_forward.endpoints import EndpointRegistry
+from rattanmill_forward.stats import InFlightCall, PerformanceModel
 from support.calls import make_call
 from support.virtual import run_virtually
 
 _SLOTS = 24
-# What engines of the usual speed take to read a token.
-_READ_SECONDS = 16e-6
+# Time in which engines of average speed read a token.
+_PREFILL_TOKEN_SECONDS = 16e-6
 _PARTS = (PromptPart("shared", 1000), PromptPart("own", 4000))
 _ROUTE = Route(
-    *("turns", "a", "/", Kind.STREAM, 4.0, 0.5, 1),
+    *("turns", "a", "/", RouteKind.STREAM, 4.0, 0.5, 1),
     backends=(Backend("llm", 1.0),),
-    most_runs=1,
+    max_attempts=1,
 )
 
 
-class Front:
-    """A front's decisions about engines of set speeds."""
+class FrontEnd:
+    """A front end's placement decisions about engines of given speeds."""
 
-    def __init__(self, paces):
-        self.paces = paces
-        self.book = EndpointBook()
-        self.known = Knowledge("east")
-        domains = Domains("east", dict, None)
+    def __init__(self, ratios):
+        self.ratios = ratios
+        self.registry = EndpointRegistry()
+        self.performance = PerformanceModel("east")
+        domains = DomainMonitor("east", dict, None)
         self.dispatcher = Dispatcher(
-            self.book, self.known, None, None, domains, None, Metrics()
+            self.registry,
+            self.performance,
+            None,
+            None,
+            domains,
+            None,
+            Metrics(),
         )
         self.engines = {}
         now = asyncio.get_running_loop().time()
-        for name, pace in paces.items():
+        for name, ratio in ratios.items():
             engine = Endpoint(name, "llm", "east", f"{name}:1", _SLOTS, False)
             self.engines[name] = engine
-            self.book.take(engine)
-            stats = self.known.of(engine)
-            stats.pace, stats.measured_at = pace, now
+            self.registry.update(engine)
+            stats = self.performance.stats_of(engine)
+            stats.duration_ratio, stats.measured_at = ratio, now
         for _ in range(50):
-            self.known.usual_of("read/event/llm", 0).learn(_READ_SECONDS)
-            self.known.usual_of("event/llm", 0).learn(0.03)
+            self.performance.average_for("read/event/llm", 0).add(
+                _PREFILL_TOKEN_SECONDS
+            )
+            self.performance.average_for("event/llm", 0).add(0.03)
 
     def job(self, number):
         """Returns a turn of eight events."""
         call = make_call(
             number,
             prompt_tokens=5000,
-            output_tokens=8,
-            parts=_PARTS,
+            max_output_tokens=8,
+            prompt_parts=_PARTS,
         )
         deadline = asyncio.get_running_loop().time() + 4
         return Job(call, _ROUTE, Service("llm"), b"", deadline)
 
     def place(self, job):
-        """Places a turn; it stays there."""
+        """Places a turn, which stays in flight."""
         pick = self.dispatcher.pick(job)
-        stats = self.known.of(pick.endpoint)
-        Stay(stats, job.call.request, stats.uncached(job.call)).__enter__()
+        stats = self.performance.stats_of(pick.endpoint)
+        InFlightCall(
+            stats, job.call.request_id, stats.uncached_tokens(job.call)
+        ).__enter__()
         return pick.endpoint.name
 
 
 @given(
-    'engines "{names}" that take {one:f}, {two:f} and {three:f} of the usual'
-    " time"
+    'engines "{names}" that take {one:f}, {two:f} and {three:f} of the'
+    " average time"
 )
 def step_engines(context, names, one, two, three):
-    context.paces = dict(zip(names.split(", "), (one, two, three), strict=True))
+    context.ratios = dict(
+        zip(names.split(", "), (one, two, three), strict=True)
+    )
     context.prepare = []
 
 
 @given('{count:d} streams run at "{name}"')
 def step_run(context, count, name):
-    def run(front):
+    def run(front_end):
         load = Load(count, 0, _SLOTS)
-        front.known.answered(front.engines[name], load)
+        front_end.performance.record_response(front_end.engines[name], load)
 
     context.prepare.append(run)
 
@@ -89,25 +101,29 @@
 @given('the conversation is cached at "{name}"')
 def step_cached(context, name):
     context.prepare.append(
-        lambda front: front.known.of(front.engines[name]).sent(_PARTS)
+        lambda front_end: front_end.performance.stats_of(
+            front_end.engines[name]
+        ).record_prompt(_PARTS)
     )
 
 
-@when("{count:d} turns with 5000 tokens to read are sent at once")
+@when("{count:d} turns with 5000 prompt tokens are sent at once")
 def step_send(context, count):
     async def send():
-        front = Front(context.paces)
+        front_end = FrontEnd(context.ratios)
         for prepare in context.prepare:
-            prepare(front)
-        return [front.place(front.job(number)) for number in range(count)]
+            prepare(front_end)
+        return [
+            front_end.place(front_end.job(number)) for number in range(count)
+        ]
 
     context.placed = collections.Counter(run_virtually(send()))
 
 
-@then("each engine gets at least {least:d} and at most {most:d} of them")
-def step_spread(context, least, most):
-    for name in context.paces:
-        assert least <= context.placed[name] <= most, context.placed
+@then("each engine gets at least {minimum:d} and at most {maximum:d} of them")
+def step_spread(context, minimum, maximum):
+    for name in context.ratios:
+        assert minimum <= context.placed[name] <= maximum, context.placed
 
 
 @then(
@@ -116,10 +132,10 @@
 )
 def step_read(context):
     read = {
-        name: count * 5000 * _READ_SECONDS * context.paces[name]
+        name: count * 5000 * _PREFILL_TOKEN_SECONDS * context.ratios[name]
         for name, count in context.placed.items()
     }
-    alone = sum(context.placed.values()) * 5000 * _READ_SECONDS
+    alone = sum(context.placed.values()) * 5000 * _PREFILL_TOKEN_SECONDS
     assert max(read.values()) <= alone / 2, read
 
 
@@ -134,29 +150,31 @@
 )
 def step_burst(context, count, seconds, name):
     async def stream():
-        front = Front(context.paces)
-        front.dispatcher.guard = _Guard()
-        job = front.job(1)
-        running = Running(front.engines[name], None, 0.0)
-        front.dispatcher.event_came(job, running)
+        front_end = FrontEnd(context.ratios)
+        front_end.dispatcher.guard = _Guard()
+        job = front_end.job(1)
+        running = RunningCall(front_end.engines[name], None, 0.0)
+        front_end.dispatcher.record_event(job, running)
         await asyncio.sleep(seconds)
         for _ in range(count - 1):
-            front.dispatcher.event_came(job, running)
-        front.dispatcher.finished(job, running)
+            front_end.dispatcher.record_event(job, running)
+        front_end.dispatcher.record_completion(job, running)
         now = asyncio.get_running_loop().time()
         return {
-            each: front.known.of(engine).pace_now(now)
-            for each, engine in front.engines.items()
+            engine_name: front_end.performance.stats_of(
+                engine
+            ).duration_ratio_at(now)
+            for engine_name, engine in front_end.engines.items()
         }
 
     context.learned = run_virtually(stream())
 
 
 class _Guard:
-    def finished(self, fingerprint):
-        """Takes the end of a run."""
+    def clear(self, fingerprint):
+        """Records the end of a call."""
 
 
-@then('"{name}" is not taken for faster than "{other}"')
+@then('"{name}" is not estimated as faster than "{other}"')
 def step_not_faster(context, name, other):
     assert context.learned[name] >= context.learned[other], context.learned
