--- a/libs/cli/src/rattanmill_cli/causes.py
+++ b/libs/cli/src/rattanmill_cli/causes.py
@@ -1,40 +1,39 @@
-"""Says how a story ended and why, as far as the logs tell."""
+"""Explains how requests ended and why, as far as the logs show."""
 
 import collections
 import itertools
 
-from rattanmill_cli.courses import Course, courses
+from rattanmill_cli.courses import RequestTrace, request_traces
 from rattanmill_cli.lines import Line, describe
-from rattanmill_cli.story import Story
+from rattanmill_cli.story import Timeline
 
-_BAD = (
+_FAULT_EVENTS = (
     *("started", "stopping", "store_away", "domain_cut", "peer_silent"),
     *("keeper_gone", "endpoint_suspected", "endpoint_gone"),
     *("registration_lapsed", "emptying_begun", "domain_suspected"),
 )
-_MOST_EVIDENCE = 4
+_MAX_EVIDENCE_LINES = 4
 
 
-def causes(story: Story) -> list[str]:
-    """Returns sentences that say how it ended and why, as far as seen."""
-    all_of_them = courses(story.own)
-    if not all_of_them:
+def causes(timeline: Timeline) -> list[str]:
+    """Returns sentences on how the requests ended and why, if known."""
+    traces = request_traces(timeline.own)
+    if not traces:
         return ["No front has admitted it, as far as these files tell."]
-    wrong = [course for course in all_of_them if not course.is_answered]
-    told = (wrong or all_of_them)[-1]
-    sentences = [_count(all_of_them)] if len(all_of_them) > 1 else []
-    sentences += [_ending(story, told)]
-    sentences += _longest_wait([told] if wrong else all_of_them)
-    return sentences + (_evidence(story, told) if wrong else [])
+    failed = [trace for trace in traces if not trace.is_answered]
+    trace = (failed or traces)[-1]
+    sentences = [_count_ends(traces)] if len(traces) > 1 else []
+    sentences += [_describe_end(timeline, trace)]
+    sentences += _longest_wait([trace] if failed else traces)
+    return sentences + (_evidence(timeline, trace) if failed else [])
 
 
-def _count(all_of_them: list[Course]) -> str:
+def _count_ends(traces: list[RequestTrace]) -> str:
     ends = collections.Counter(
-        "no end" if course.end is None else _kind(course.end)
-        for course in all_of_them
+        "no end" if trace.end is None else _kind(trace.end) for trace in traces
     )
     kinds = ", ".join(f"{count} {kind}" for kind, count in ends.most_common())
-    return f"{len(all_of_them)} requests: {kinds}."
+    return f"{len(traces)} requests: {kinds}."
 
 
 def _kind(end: Line) -> str:
@@ -43,10 +42,10 @@
     return f"refused ({end.get('reason')})"
 
 
-def _ending(story: Story, told: Course) -> str:
-    request, end = told.request, told.end
+def _describe_end(timeline: Timeline, trace: RequestTrace) -> str:
+    request, end = trace.request, trace.end
     if end is None:
-        return f"Request {request}: {_vanished(story, told.lines[0])}"
+        return f"Request {request}: {_missing_end(timeline, trace.lines[0])}"
     after = end.get("after_ms")
     when = f" after {after} ms" if after != "" else ""
     match end.event:
@@ -62,11 +61,11 @@
     )
 
 
-def _vanished(story: Story, admitted: Line) -> str:
+def _missing_end(timeline: Timeline, admitted: Line) -> str:
     front = admitted.instance
     later = [
         line
-        for line in story.lines
+        for line in timeline.lines
         if line.instance == front and line.time > admitted.time
     ]
     started = next((x for x in later if x.event == "started"), None)
@@ -81,10 +80,10 @@
     )
 
 
-def _longest_wait(told: list[Course]) -> list[str]:
-    """Says between which two lines of a request most time went."""
+def _longest_wait(traces: list[RequestTrace]) -> list[str]:
+    """Names the two consecutive lines of a request furthest apart."""
     pairs = [
-        pair for course in told for pair in itertools.pairwise(course.lines)
+        pair for trace in traces for pair in itertools.pairwise(trace.lines)
     ]
     if not pairs:
         return []
@@ -98,12 +97,16 @@
     ]
 
 
-def _evidence(story: Story, told: Course) -> list[str]:
-    """Says what befell those who took part, up to its end."""
-    until = (told.end or told.lines[-1]).time
-    wrong = [
+def _evidence(timeline: Timeline, trace: RequestTrace) -> list[str]:
+    """Lists faults of the participants up to the end of the request."""
+    until = (trace.end or trace.lines[-1]).time
+    faults = [
         line
-        for line in story.lines
-        if line.event in _BAD and line.time <= until and told.concerns(line)
+        for line in timeline.lines
+        if line.event in _FAULT_EVENTS
+        and line.time <= until
+        and trace.concerns(line)
+    ]
+    return [
+        f"Before: {describe(line)}." for line in faults[-_MAX_EVIDENCE_LINES:]
     ]
-    return [f"Before: {describe(line)}." for line in wrong[-_MOST_EVIDENCE:]]
--- a/libs/cli/src/rattanmill_cli/changes.py
+++ b/libs/cli/src/rattanmill_cli/changes.py
@@ -1,4 +1,4 @@
-"""Changes of the configuration: made from a number, sent until settled."""
+"""Configuration changes: compare-and-set on a number, with retries."""
 
 import asyncio
 import getpass
@@ -21,18 +21,18 @@
 )
 
 _CONFIG_PATH = "/v1/admin/config"
-_SENDS = 6
-_PAUSE_SECONDS = 0.5
-_TRIES_ON_TOP = 20
-_REACH_SECONDS = 10
+_MAX_SENDS = 6
+_RETRY_DELAY_SECONDS = 0.5
+_MAX_CONFLICT_RETRIES = 20
+_REACH_TIMEOUT_SECONDS = 10
 
 
 class Edit(msgspec.Struct):
     """One value that an operator changes.
 
     Attributes:
-        what: The value, as in ``classes.evening.target_seconds``.
-        new: What it is to be.
+        what: Dotted name, such as ``classes.evening.target_seconds``.
+        new: The new value.
         read: Returns the value in plain tables; None if there is none.
         write: Sets the value in plain tables.
     """
@@ -44,7 +44,7 @@
 
 
 class Applied(msgspec.Struct):
-    """An accepted change and where it is in force."""
+    """An accepted change and the instances where it is in force."""
 
     number: int
     change: str
@@ -53,7 +53,7 @@
 
 
 def operator_name(given: str) -> str:
-    """Returns the name under which a change goes into the history."""
+    """Returns the operator name that the history records."""
     return given or getpass.getuser()
 
 
@@ -63,20 +63,20 @@
 
 
 async def send(link: Link, document: ConfigDocument) -> ConfigDocument:
-    """Has a document accepted, whose number is the one it was made from.
+    """Sends a document whose number is the one that it was made from.
 
-    An answer that is lost is settled by sending the same change id again: the
-    instance finds it stored and says so.
+    After a lost answer, sends the same change id again. This is idempotent:
+    the instance finds the change stored and reports it as accepted.
 
     Raises:
         ConflictError: Another change was accepted from the same number.
         RefusedError: The document or the operator was refused.
-        UnreachableError: Whether it was accepted stayed unknown.
+        UnreachableError: It is unknown whether the document was accepted.
     """
     if not document.change:
         document = msgspec.structs.replace(document, change=new_id())
     may_be_stored = False
-    for left in reversed(range(_SENDS)):
+    for left in reversed(range(_MAX_SENDS)):
         try:
             return await link.put(_CONFIG_PATH, document, ConfigDocument)
         except StoreSilentError as error:
@@ -86,12 +86,12 @@
         except LostAnswerError as error:
             may_be_stored = True
             if not left:
-                raise _unsettled(document.change, error) from error
-        await asyncio.sleep(random.uniform(0.5, 1) * _PAUSE_SECONDS)
+                raise _unknown_outcome(document.change, error) from error
+        await asyncio.sleep(random.uniform(0.5, 1) * _RETRY_DELAY_SECONDS)
     raise AssertionError
 
 
-def _unsettled(change: str, error: LostAnswerError) -> LostAnswerError:
+def _unknown_outcome(change: str, error: LostAnswerError) -> LostAnswerError:
     return LostAnswerError(
         f"{error.message}\nWhether change {change} was stored is not known:"
         " look for it with 'rattanmill config history'."
@@ -101,7 +101,7 @@
 async def apply_edits(
     link: Link, edits: list[Edit], operator: str
 ) -> ConfigDocument:
-    """Makes edits on what is in force, again on top of others' changes.
+    """Applies edits to the configuration in force; retries on conflict.
 
     Raises:
         ConflictError: Another operator changed one of the same values since
@@ -109,13 +109,13 @@
         RefusedError: A new value is not allowed.
     """
     found: list[Any] | None = None
-    for _ in range(_TRIES_ON_TOP):
+    for _ in range(_MAX_CONFLICT_RETRIES):
         base = await current(link)
         plain = msgspec.to_builtins(base)
         values = [edit.read(plain) for edit in edits]
         if found is None:
             found = values
-        _check_others(edits, found, values, base)
+        _check_conflicts(edits, found, values, base)
         for edit in edits:
             edit.write(plain, edit.new)
         document = _read(plain)
@@ -124,13 +124,13 @@
         try:
             return await send(link, document)
         except ConflictError:
-            await asyncio.sleep(random.uniform(0, _PAUSE_SECONDS))
+            await asyncio.sleep(random.uniform(0, _RETRY_DELAY_SECONDS))
     raise ConflictError(
-        f"Others' changes came first {_TRIES_ON_TOP} times. Try again."
+        f"Others' changes came first {_MAX_CONFLICT_RETRIES} times. Try again."
     )
 
 
-def _check_others(
+def _check_conflicts(
     edits: list[Edit], found: list[Any], values: list[Any], base: ConfigDocument
 ) -> None:
     for edit, before, now in zip(edits, found, values, strict=True):
@@ -151,10 +151,10 @@
 
 
 async def reached(link: Link, document: ConfigDocument) -> Applied:
-    """Waits for a while until every instance has a document in force."""
+    """Waits, up to a timeout, until all instances apply a document."""
     reach = await link.get(
         f"{_CONFIG_PATH}/reach?number={document.number}"
-        f"&seconds={_REACH_SECONDS}",
+        f"&seconds={_REACH_TIMEOUT_SECONDS}",
         ConfigReach,
     )
     return Applied(
@@ -172,7 +172,7 @@
     """Prints where a change is in force.
 
     Raises:
-        NotReachedError: It is accepted, but not yet in force everywhere.
+        NotReachedError: The change is accepted but not in force everywhere.
     """
     known = len(applied.in_force) + len(applied.not_reached)
     if json:
@@ -185,6 +185,6 @@
     if applied.not_reached:
         raise NotReachedError(
             f"Accepted, but not reached: {', '.join(applied.not_reached)}."
-            " They take it as soon as they hear from another instance or the"
+            " They apply it as soon as they reach another instance or the"
             " key-value service; 'rattanmill status' shows when."
         )
--- a/libs/cli/src/rattanmill_cli/classes.py
+++ b/libs/cli/src/rattanmill_cli/classes.py
@@ -80,12 +80,12 @@
     token_file: str = "",
     json: bool = False,
 ) -> None:
-    """Change values of a class, on top of what others change meanwhile.
+    """Change values of a class; keep concurrent changes by others.
 
     Args:
         name: Name of the class.
         value: FIELD=VALUE, such as max_turns=40.
-        create: Make the class if there is none.
+        create: Create the class if it does not exist.
         operator: Your name, for the history; by default your login.
         address: IP:PORT of any instance.
         token_file: File with the operators' token.
@@ -109,7 +109,7 @@
     token_file: str = "",
     json: bool = False,
 ) -> None:
-    """State the target of a class: programs finish within SECONDS.
+    """Set the target of a class: programs finish within SECONDS.
 
     Args:
         name: Name of the class.
@@ -163,13 +163,13 @@
         if name not in document.classes and not create:
             raise _no_class(name, document)
         edits = [edit_field(name, field, new) for field, new in fields.items()]
-        edits = edits or [_make(name)]
+        edits = edits or [_create_class_edit(name)]
         accepted = await changes.apply_edits(link, edits, operator)
         return await changes.reached(link, accepted)
 
 
 def edit_field(name: str, field: str, new: Any) -> changes.Edit:
-    """Returns the change of one field of a class."""
+    """Returns an edit of one field of a class."""
     return changes.Edit(
         f"classes.{name}.{field}",
         new,
@@ -180,7 +180,7 @@
     )
 
 
-def _make(name: str) -> changes.Edit:
+def _create_class_edit(name: str) -> changes.Edit:
     return changes.Edit(
         f"classes.{name}",
         True,
--- a/libs/cli/src/rattanmill_cli/config.py
+++ b/libs/cli/src/rattanmill_cli/config.py
@@ -1,4 +1,4 @@
-"""``rattanmill config``: the whole document."""
+"""``rattanmill config``: the whole configuration document."""
 
 import asyncio
 import time
@@ -30,7 +30,7 @@
     """Print the configuration in force, as a file that 'apply' takes.
 
     Args:
-        number: Show this earlier one from the history instead.
+        number: Show this earlier configuration from the history instead.
         address: IP:PORT of any instance.
         token_file: File with the operators' token.
         json: Print JSON instead of TOML.
@@ -100,7 +100,7 @@
 def _differences(
     one: ConfigDocument, other: ConfigDocument
 ) -> list[tuple[str, Any, Any]]:
-    mine, theirs = _flat(one), _flat(other)
+    mine, theirs = _flatten(one), _flatten(other)
     names = sorted(mine.keys() | theirs.keys())
     return [
         (name, mine.get(name), theirs.get(name))
@@ -109,19 +109,19 @@
     ]
 
 
-def _flat(document: ConfigDocument) -> dict[str, Any]:
-    """Returns all that operators decide, by dotted name."""
+def _flatten(document: ConfigDocument) -> dict[str, Any]:
+    """Returns the values that operators set, by dotted name."""
     plain = msgspec.to_builtins(document)
     for name in ("number", "change", "operator", "applied"):
         del plain[name]
-    return dict(_flat_pairs(plain, ""))
+    return dict(_flatten_pairs(plain, ""))
 
 
-def _flat_pairs(table: dict[str, Any], path: str) -> list[tuple[str, Any]]:
+def _flatten_pairs(table: dict[str, Any], path: str) -> list[tuple[str, Any]]:
     pairs = []
     for name, value in table.items():
         if isinstance(value, dict):
-            pairs += _flat_pairs(value, f"{path}{name}.")
+            pairs += _flatten_pairs(value, f"{path}{name}.")
         else:
             pairs.append((f"{path}{name}", value))
     return pairs
@@ -166,8 +166,8 @@
         try:
             accepted = await changes.send(link, document)
         except ConflictError:
-            # The same file again, after an answer was lost or by a script
-            # that does not know: what it asks for is in force.
+            # The same file may be applied again after a lost answer or by a
+            # script. If its values are in force, that is a success.
             accepted = await changes.current(link)
             if _differences(accepted, document):
                 raise
@@ -185,7 +185,7 @@
     """Put an earlier configuration in force again, under a new number.
 
     Args:
-        number: Number of the earlier one, from the history.
+        number: Number of the earlier configuration, from the history.
         operator: Your name, for the history; by default your login.
         address: IP:PORT of any instance.
         token_file: File with the operators' token.
@@ -228,7 +228,10 @@
     if json:
         print_json(entries)
         return
-    rows = [(e.number, _when(e.applied), e.operator, e.change) for e in entries]
+    rows = [
+        (e.number, _format_time(e.applied), e.operator, e.change)
+        for e in entries
+    ]
     print_table(("NUMBER", "ACCEPTED (UTC)", "OPERATOR", "CHANGE"), rows)
 
 
@@ -237,7 +240,7 @@
         return await link.get(_HISTORY_PATH, list[HistoryEntry])
 
 
-def _when(seconds: float) -> str | None:
+def _format_time(seconds: float) -> str | None:
     if not seconds:
         return None
     return time.strftime("%Y-%m-%d %H:%M:%S", time.gmtime(seconds))
--- a/libs/cli/src/rattanmill_cli/explain.py
+++ b/libs/cli/src/rattanmill_cli/explain.py
@@ -1,4 +1,4 @@
-"""``rattanmill explain``: the story of one request or program."""
+"""``rattanmill explain``: the timeline of a request or program."""
 
 import datetime
 
@@ -7,16 +7,16 @@
 from rattanmill_cli.causes import causes
 from rattanmill_cli.lines import describe
 from rattanmill_cli.output import print_json
-from rattanmill_cli.story import Story, tell
+from rattanmill_cli.story import Timeline, build_timeline
 from rattanmill_core import UsageError
 
 
-class Told(msgspec.Struct):
-    """A story as ``--json`` prints it.
+class ExplainOutput(msgspec.Struct):
+    """A timeline as ``--json`` prints it.
 
     Attributes:
-        lines: As the instances wrote them, in order.
-        skews: Clocks that cannot be right.
+        lines: Log lines in order of corrected time.
+        skews: Clocks known to be behind.
         unreadable: Lines that could not be read.
         causes: How it ended and why.
     """
@@ -28,41 +28,45 @@
 
 
 def explain(ident: str, *files: str, json: bool = False) -> None:
-    """Tell what happened to a request, turn or program, from logs.
+    """Explain what happened to a request, turn or program, from logs.
 
-    Needs no running system. Lines of all instances in order of time, what
-    befell those who took part, and the cause last.
+    Needs no running system. Prints the lines of all instances in order of
+    time, events of the participants, and the cause last.
 
     Args:
         ident: Id of a request, turn or program.
-        files: Logs of the instances, all that there are.
+        files: Log files of all instances.
         json: Print JSON.
     """
     if not files:
         raise UsageError("explain: name the log files of the instances")
-    story = tell(ident, files)
-    if not story.own:
+    timeline = build_timeline(ident, files)
+    if not timeline.own:
         raise UsageError(f"{ident}: not in these {len(files)} files")
     if json:
-        lines = story.lines
-        print_json(Told(lines, story.skews, story.unreadable, causes(story)))
+        lines = timeline.lines
+        print_json(
+            ExplainOutput(
+                lines, timeline.skews, timeline.unreadable, causes(timeline)
+            )
+        )
         return
-    _print(story)
+    _print(timeline)
 
 
-def _print(story: Story) -> None:
-    start = story.lines[0].time
+def _print(timeline: Timeline) -> None:
+    start = timeline.lines[0].time
     at = datetime.datetime.fromtimestamp(start, datetime.UTC)
     print(f"From {at.isoformat(timespec='milliseconds')}:")
-    for line in story.lines:
+    for line in timeline.lines:
         print(f"{line.time - start:8.3f}  {describe(line)}")
     print()
-    for skew in story.skews:
+    for skew in timeline.skews:
         print(
             f"The clock of {skew.behind} is behind that of {skew.ahead} by"
             f" {skew.seconds:.3f} s or more; its lines stand so much later."
         )
-    if story.unreadable:
-        print(f"{story.unreadable} lines could not be read.")
-    for sentence in causes(story):
+    if timeline.unreadable:
+        print(f"{timeline.unreadable} lines could not be read.")
+    for sentence in causes(timeline):
         print(sentence)
--- a/libs/cli/src/rattanmill_cli/files.py
+++ b/libs/cli/src/rattanmill_cli/files.py
@@ -10,10 +10,10 @@
 
 
 def load_plain(path: str) -> dict[str, Any]:
-    """Reads a file as plain tables; JSON if its name ends so, else TOML.
+    """Reads a file as plain tables; JSON if its name ends in .json, else TOML.
 
     Raises:
-        SettingsError: The file cannot be read or is not of the form.
+        SettingsError: The file cannot be read or has the wrong format.
     """
     try:
         text = pathlib.Path(path).read_text(encoding="utf-8")
@@ -35,7 +35,8 @@
     """Reads and checks a configuration file.
 
     Raises:
-        SettingsError: Names every error: file, key and what is allowed.
+        SettingsError: The document is invalid; lists every error with file,
+            key and allowed values.
     """
     document = read_config(load_plain(path))
     if isinstance(document, list):
--- a/libs/cli/src/rattanmill_cli/lines.py
+++ b/libs/cli/src/rattanmill_cli/lines.py
@@ -1,4 +1,4 @@
-"""Lines of the logs that instances on the users' platform write."""
+"""Reads the log lines that instances on the users' platform write."""
 
 import pathlib
 from collections.abc import Callable, Iterable, Iterator
@@ -10,14 +10,14 @@
 
 
 class Line(msgspec.Struct, frozen=True):
-    """One decision or change of belief of an instance.
+    """One log event: a decision or a change of state of an instance.
 
     Attributes:
         time: Seconds since 1970, by the clock of the instance's machine.
         level: ``INFO``, ``WARNING`` or ``ERROR``.
-        instance: Who wrote it.
+        instance: Name of the instance that wrote it.
         event: What happened; docs/LOGS.md lists all.
-        fields: The event's own.
+        fields: The event's other fields.
     """
 
     time: float
@@ -27,17 +27,17 @@
     fields: dict[str, Any]
 
     def get(self, name: str) -> Any:
-        """Returns a field, or an empty text."""
+        """Returns a field, or an empty string."""
         return self.fields.get(name, "")
 
 
 class Reading(msgspec.Struct):
-    """What was read of some files.
+    """Result of reading log files.
 
     Attributes:
-        lines: Those that were wanted.
-        unreadable: Wanted lines that are not of the form, as where a file was
-            cut or holds the output of other programs.
+        lines: The lines that were selected.
+        unreadable: Number of selected lines that are malformed, such as where
+            a file was truncated or holds the output of other programs.
     """
 
     lines: list[Line] = msgspec.field(default_factory=list)
@@ -47,10 +47,10 @@
 def read_lines(
     paths: Iterable[str], is_wanted: Callable[[bytes], bool]
 ) -> Reading:
-    """Reads the lines of several files that are wanted.
+    """Reads the selected lines of several files.
 
     Args:
-        paths: Files, one or several instances in each.
+        paths: Log files; each may hold lines of several instances.
         is_wanted: Whether a line, undecoded, should be read. Logs of an hour
             hold millions of lines; only few are decoded.
 
@@ -77,7 +77,7 @@
 
 
 def _decode(raw: bytes) -> Line | None:
-    # Collectors of logs put times and names before what an instance wrote.
+    # Log collectors put timestamps and names before the JSON object.
     start = raw.find(b"{")
     try:
         fields = msgspec.json.decode(raw[max(start, 0) :])
@@ -91,12 +91,12 @@
     except (msgspec.DecodeError, KeyError, TypeError, ValueError):
         return None
     except AttributeError:
-        # JSON, but not a table.
+        # Valid JSON, but not an object.
         return None
 
 
 def describe(line: Line) -> str:
-    """Returns a line without its time, for people."""
+    """Formats a line without its time, for human readers."""
     fields = " ".join(
         f"{name}={_text(value)}"
         for name, value in line.fields.items()
--- a/libs/cli/src/rattanmill_cli/link.py
+++ b/libs/cli/src/rattanmill_cli/link.py
@@ -1,4 +1,4 @@
-"""HTTP to one instance: each answer becomes a value or a typed error."""
+"""HTTP client for one instance; returns decoded values or raises errors."""
 
 import os
 import pathlib
@@ -17,13 +17,13 @@
 
 ADDRESS_VARIABLE = "RATTANMILL_ADDRESS"
 TOKEN_VARIABLE = "RATTANMILL_TOKEN_FILE"
-_SECONDS = 40.0
-_CONNECT_SECONDS = 5.0
+_TOTAL_TIMEOUT_SECONDS = 40.0
+_CONNECT_TIMEOUT_SECONDS = 5.0
 _T = TypeVar("_T")
 
 
 class Problem(msgspec.Struct):
-    """Problem details of a refusal, as far as a person needs them."""
+    """The problem details of a refusal that the command uses."""
 
     detail: str
     reason: str
@@ -32,21 +32,21 @@
 
 
 class LostAnswerError(UnreachableError):
-    """The request went out and no answer came: it may have taken effect."""
+    """The request was sent but not answered; it may have taken effect."""
 
 
 class StoreSilentError(RefusedError):
-    """The key-value service said nothing.
+    """The key-value service did not respond.
 
     Attributes:
-        may_have_run: Whether the change may have been stored all the same.
+        may_have_run: Whether the change may have been stored nevertheless.
     """
 
     may_have_run = False
 
 
 class Link:
-    """Calls of one command to one instance.
+    """HTTP client of a command for one instance.
 
     Args:
         address: ``IP:PORT``, or empty to take it from the environment.
@@ -73,7 +73,8 @@
     async def __aenter__(self) -> Self:
         self.session = aiohttp.ClientSession(
             timeout=aiohttp.ClientTimeout(
-                total=_SECONDS, sock_connect=_CONNECT_SECONDS
+                total=_TOTAL_TIMEOUT_SECONDS,
+                sock_connect=_CONNECT_TIMEOUT_SECONDS,
             )
         )
         return self
@@ -100,8 +101,8 @@
         """Returns the body of an answer.
 
         Raises:
-            UnreachableError: No connection, or no answer on it.
-            RefusedError: The instance refused; in words what to do next.
+            UnreachableError: The connection failed or no answer came.
+            RefusedError: The instance refused; the message says what to do.
         """
         url = f"http://{self.address}{path}"
         try:
--- a/libs/cli/src/rattanmill_cli/main.py
+++ b/libs/cli/src/rattanmill_cli/main.py
@@ -31,11 +31,11 @@
     },
     "program": {"show": system.show_program, "end": system.end_program},
 }
-_INTERRUPTED = 130
+_INTERRUPTED_EXIT_CODE = 130
 
 
 def main(argv: list[str] | None = None) -> None:
-    """Runs one command; exits as docs/operators/cli.md lists.
+    """Runs one command; docs/operators/cli.md lists the exit codes.
 
     Args:
         argv: Arguments, or None for those of the process.
@@ -53,7 +53,7 @@
         print(error.message, file=sys.stderr)
         sys.exit(error.exit_code)
     except KeyboardInterrupt:
-        sys.exit(_INTERRUPTED)
+        sys.exit(_INTERRUPTED_EXIT_CODE)
 
 
 if __name__ == "__main__":
--- a/libs/cli/src/rattanmill_cli/output.py
+++ b/libs/cli/src/rattanmill_cli/output.py
@@ -1,11 +1,11 @@
-"""What commands print: aligned columns for people, JSON for programs."""
+"""Output of commands: aligned tables, or JSON for scripts."""
 
 from collections.abc import Iterable, Sequence
 from typing import Any
 
 import msgspec
 
-_GAP = "  "
+_COLUMN_SEPARATOR = "  "
 
 
 def print_json(value: object) -> None:
@@ -15,14 +15,14 @@
 
 
 def print_table(head: Sequence[str], rows: Iterable[Sequence[object]]) -> None:
-    """Prints rows under a head, columns aligned."""
+    """Prints rows in aligned columns under a header."""
     lines = [list(head), *([_cell(cell) for cell in row] for row in rows)]
     widths = [max(map(len, column)) for column in zip(*lines, strict=True)]
     for line in lines:
         cells = [
             cell.ljust(width) for cell, width in zip(line, widths, strict=True)
         ]
-        print(_GAP.join(cells).rstrip())
+        print(_COLUMN_SEPARATOR.join(cells).rstrip())
 
 
 def _cell(value: object) -> str:
@@ -64,8 +64,8 @@
 
 
 def _toml_value(value: object) -> str:
-    # A JSON value is a TOML value, but for tables in lists and for the
-    # letter DEL, which TOML wants escaped.
+    # JSON values are valid TOML, except for tables in lists and for the DEL
+    # character, which TOML requires to be escaped.
     if isinstance(value, list):
         return "[" + ", ".join(map(_toml_value, value)) + "]"
     if isinstance(value, dict):
--- a/libs/cli/src/rattanmill_cli/story.py
+++ b/libs/cli/src/rattanmill_cli/story.py
@@ -1,30 +1,37 @@
-"""Puts the lines of several instances together to the story of a request."""
+"""Merges the logs of several instances into the timeline of a request."""
 
 import re
 from collections.abc import Iterable, Sequence
 
 import msgspec
 
-from rattanmill_cli.courses import OF_INSTANCES, OF_OTHERS, courses
+from rattanmill_cli.courses import INSTANCE_EVENTS, PEER_EVENTS, request_traces
 from rattanmill_cli.lines import Line, read_lines
 
-# Fields that may name what the story is about.
+# Fields that may hold the id that the timeline is about.
 _IDS = ("request", "program", "attempt", "turn", "asked_for", "previous")
-# These lines bear a request but not its program.
-_OF_REQUESTS = ("retried", "turn_missing", "caller_left", "refused")
-# Tells which instance an address belongs to.
-_ADDRESSES = "keeper_seen"
-_EVENTS = (*_OF_REQUESTS, *OF_INSTANCES, *OF_OTHERS, _ADDRESSES)
-_AROUND = re.compile(f'"event": *"({"|".join(_EVENTS)})"'.encode())
+# These events carry the id of a request but not that of its program.
+_REQUEST_EVENTS = ("retried", "turn_missing", "caller_left", "refused")
+# Maps an address to the name of its instance.
+_ADDRESS_EVENT = "keeper_seen"
+_CONTEXT_EVENTS = (
+    *_REQUEST_EVENTS,
+    *INSTANCE_EVENTS,
+    *PEER_EVENTS,
+    _ADDRESS_EVENT,
+)
+_CONTEXT_PATTERN = re.compile(
+    f'"event": *"({"|".join(_CONTEXT_EVENTS)})"'.encode()
+)
 
 
 class Skew(msgspec.Struct, frozen=True):
-    """One clock goes behind another.
+    """Clock skew between two instances.
 
     Attributes:
         behind: The instance whose clock is behind.
-        ahead: The other one.
-        seconds: By how much at least.
+        ahead: The instance that it is compared with.
+        seconds: Lower bound of the skew.
     """
 
     behind: str
@@ -32,13 +39,13 @@
     seconds: float
 
 
-class Story(msgspec.Struct):
-    """What happened to a request or program.
+class Timeline(msgspec.Struct):
+    """Timeline of a request or program.
 
     Attributes:
-        lines: Lines about it and about those who took part, in order.
-        own: The lines about it alone.
-        skews: Clocks that cannot be right; their lines stand later here.
+        lines: Lines about it and about the participants, in order of time.
+        own: Only the lines about the request or program itself.
+        skews: Clocks known to be behind; their lines are shifted later.
         unreadable: Lines that could not be read.
     """
 
@@ -48,8 +55,8 @@
     unreadable: int = 0
 
 
-def tell(ident: str, paths: Sequence[str]) -> Story:
-    """Returns the story of a request, turn or program.
+def build_timeline(ident: str, paths: Sequence[str]) -> Timeline:
+    """Returns the timeline of a request, turn or program.
 
     Args:
         ident: Its id.
@@ -67,13 +74,15 @@
         for name in ("request", "attempt")
         if line.get(name)
     }
-    around = read_lines(paths, lambda raw: _AROUND.search(raw) is not None)
+    around = read_lines(
+        paths, lambda raw: _CONTEXT_PATTERN.search(raw) is not None
+    )
     own = _merge(named, [x for x in around.lines if _names(x, requests)])
     skews = find_skews(own)
-    others = _beliefs(own, around.lines) if own else []
-    return Story(
-        _in_order(_merge(own, others), skews),
-        _in_order(own, skews),
+    others = _context_lines(own, around.lines) if own else []
+    return Timeline(
+        _sort_corrected(_merge(own, others), skews),
+        _sort_corrected(own, skews),
         skews,
         max(direct.unreadable, around.unreadable),
     )
@@ -95,10 +104,10 @@
 
 
 def find_skews(lines: Iterable[Line]) -> list[Skew]:
-    """Finds clocks that are wrong, by what must come after what.
+    """Finds clock skew from the causal order of events.
 
-    A turn that continues another is admitted after that one was kept. One
-    that seems to come before tells how far its clock is behind at least.
+    A turn that continues another is admitted after that one was kept. If it
+    seems to come before, the difference is a lower bound of the skew.
     """
     lines = list(lines)
     kept = {
@@ -116,7 +125,7 @@
     return [Skew(*pair, seconds) for pair, seconds in sorted(found.items())]
 
 
-def _in_order(lines: list[Line], skews: list[Skew]) -> list[Line]:
+def _sort_corrected(lines: list[Line], skews: list[Skew]) -> list[Line]:
     shift = {skew.behind: skew.seconds for skew in skews}
     moved = [
         msgspec.structs.replace(
@@ -127,22 +136,22 @@
     return sorted(moved, key=lambda line: (line.time, line.instance in shift))
 
 
-def _beliefs(own: list[Line], around: list[Line]) -> list[Line]:
-    """Returns what befell those who took part in what went wrong."""
+def _context_lines(own: list[Line], around: list[Line]) -> list[Line]:
+    """Returns events of the participants in requests that failed."""
     addresses = {
         line.get("address"): line.get("keeper")
         for line in around
-        if line.event == _ADDRESSES
+        if line.event == _ADDRESS_EVENT
     }
-    named = [_with_name(line, addresses) for line in around]
+    named = [_with_peer_name(line, addresses) for line in around]
     found: list[Line] = []
-    for course in courses(own):
-        if not course.is_answered:
-            found = _merge(found, [x for x in named if course.concerns(x)])
+    for trace in request_traces(own):
+        if not trace.is_answered:
+            found = _merge(found, [x for x in named if trace.concerns(x)])
     return found
 
 
-def _with_name(line: Line, addresses: dict[str, str]) -> Line:
+def _with_peer_name(line: Line, addresses: dict[str, str]) -> Line:
     name = addresses.get(line.get("peer"))
     if not name:
         return line
--- a/libs/cli/src/rattanmill_cli/system.py
+++ b/libs/cli/src/rattanmill_cli/system.py
@@ -105,7 +105,7 @@
     token_file: str = "",
     json: bool = False,
 ) -> None:
-    """Give an endpoint no new work; what runs there goes on.
+    """Give an endpoint no new work; running work continues.
 
     Args:
         name: Name of the endpoint.
