--- a/libs/wire/src/rattanmill_wire/peers.py
+++ b/libs/wire/src/rattanmill_wire/peers.py
@@ -69,7 +69,7 @@
         return PeerSecret(secret, zmq.curve_public(secret))
     except (OSError, ValueError, zmq.ZMQError) as error:
         raise SettingsError(
-            f"{path}: no valid secret key (40 characters of Z85): {error}"
+            f"{path}: no usable secret key (40 characters of Z85): {error}"
         ) from error
 
 
--- a/tests/features/steps/site_logs.py
+++ b/tests/features/steps/site_logs.py
@@ -13,7 +13,7 @@
 from rattanmill_core.events import LineWriter, log_event, warn_event
 
 _LOGS_PAGE = pathlib.Path("docs/LOGS.md")
-_LOG_FUNCTIONS = ("log_event", "warn_event", "_line")
+_LOG_FUNCTIONS = ("log_event", "warn_event", "_write_line")
 _COMMON_FIELDS = {
     "time",
     "level",
@@ -37,11 +37,11 @@
             if not isinstance(node, ast.Call) or not node.args:
                 continue
             name = getattr(node.func, "id", getattr(node.func, "attr", ""))
-            event = node.args[-2] if name == "_line" else node.args[0]
+            event = node.args[-2] if name == "_write_line" else node.args[0]
             if name in _LOG_FUNCTIONS and isinstance(event, ast.Constant):
                 fields = found.setdefault(event.value, set())
                 fields |= {keyword.arg for keyword in node.keywords}
-                if name == "_line":
+                if name == "_write_line":
                     fields.add("count")
     return found
 
@@ -88,8 +88,8 @@
     lines = LineWriter(writer, "test")
     # Counts all lines in one second, however long the loop takes.
     lines.decisions.second = lines.errors.second = None
-    lines.decisions.take = _in_one_second(lines.decisions)
-    lines.errors.take = _in_one_second(lines.errors)
+    lines.decisions.try_acquire = _in_one_second(lines.decisions)
+    lines.errors.try_acquire = _in_one_second(lines.errors)
     number = logger.add(lines, format="{message}", level="INFO")
     for count in range(5000):
         log_event("placed", request=str(count))
@@ -97,7 +97,7 @@
             warn_event("task_failed", message=str(count))
             log_event("refused", request=str(count))
     logger.remove(number)
-    lines.decisions.take(0)
+    lines.decisions.try_acquire(0)
     warnings = lines.errors
     lines.descriptor = writer
     lines._report_dropped(0.0)
@@ -107,9 +107,9 @@
     assert warnings.dropped == 0
 
 
-def _in_one_second(budget):
-    take = budget.take
-    return lambda second: take(1)
+def _in_one_second(limiter):
+    try_acquire = limiter.try_acquire
+    return lambda second: try_acquire(1)
 
 
 @then(
